--- a/crates/amaranthscale/src/entry/connection/peer_http.rs
+++ b/crates/amaranthscale/src/entry/connection/peer_http.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use amaranthscale_core::wire::{self, TreeReply, TreeSince};
+use amaranthscale_core::wire::{self, TreeReply, TreeRequest};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 use serde::de::DeserializeOwned;
@@ -42,7 +42,7 @@
 
     async fn since(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let kind = ControlKind::TreeExchange;
-        let Some(since) = self.message::<TreeSince>(kind, request).await else {
+        let Some(since) = self.message::<TreeRequest>(kind, request).await else {
             return of_status(StatusCode::BAD_REQUEST);
         };
         let reply = wire::encode(&self.tree.since(since.version));
--- a/crates/amaranthscale/src/entry/process/admission_question.rs
+++ b/crates/amaranthscale/src/entry/process/admission_question.rs
@@ -1,7 +1,7 @@
 //! What the admission of a request depends on.
 
 use amaranthscale_core::id::{OrganisationId, ServiceId};
-use amaranthscale_core::unit::{Budget, Class, RatePerSecond};
+use amaranthscale_core::unit::{Class, RatePerSecond, TimeBudget};
 
 /// What the admission of a request depends on.
 #[derive(Debug, Clone)]
@@ -17,5 +17,5 @@
     /// Services of the stages to come.
     pub services: Vec<ServiceId>,
     /// Time until the answer is due.
-    pub budget: Budget,
+    pub budget: TimeBudget,
 }
--- a/crates/amaranthscale/src/entry/process/decisions_state.rs
+++ b/crates/amaranthscale/src/entry/process/decisions_state.rs
@@ -10,7 +10,7 @@
     Admission, AttainmentBook, AttainmentCounts, AttemptEnd, CostBook, CostKey, CostTotals,
     OrganisationLimits, Refusal, RetryBudget, Router, RouterSettings, StageEstimate,
 };
-use amaranthscale_core::unit::{Budget, Class};
+use amaranthscale_core::unit::{Class, TimeBudget};
 use amaranthscale_core::wire::{HostList, Stamp};
 use log::info;
 use ractor::ActorRef;
@@ -182,7 +182,7 @@
             return question.due;
         }
         let now = Instant::now();
-        let left = Budget::new(question.due.saturating_duration_since(now));
+        let left = TimeBudget::new(question.due.saturating_duration_since(now));
         let later = self.estimates(&question.later, question.class);
         now + Admission::stage_budget(left, &later).duration()
     }
--- a/crates/amaranthscale/src/entry/request/attempt_run.rs
+++ b/crates/amaranthscale/src/entry/request/attempt_run.rs
@@ -5,10 +5,10 @@
 
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::id::{AttemptId, Incarnation};
-use amaranthscale_core::unit::{Budget, SidecarClock};
+use amaranthscale_core::unit::{SidecarClock, TimeBudget};
 use amaranthscale_core::wire::{
-    self, Chunk, Digest, Dispatch, End, Fetch, Frame, Outcome, Revoke, RevokeAnswer, RevokeReply,
-    Stamp,
+    self, Chunk, Dispatch, End, Fetch, Frame, Outcome, ResultDigest, Revoke, RevokeAnswer,
+    RevokeReply, Stamp,
 };
 use bytes::{Bytes, BytesMut};
 use hyper::Response;
@@ -225,7 +225,7 @@
             attempt: self.to.attempt,
             incarnation: self.to.incarnation,
             from_chunk: self.receipt.next_chunk,
-            budget: Budget::new(self.to.due.saturating_duration_since(Instant::now())),
+            budget: TimeBudget::new(self.to.due.saturating_duration_since(Instant::now())),
         };
         self.post_and_read(connection, "/fetch", wire::encode(&fetch))
             .await
@@ -330,7 +330,7 @@
     }
 
     fn matches(&self, outcome: &Outcome, chunks: u64) -> bool {
-        let digest = Digest::from_bytes(self.hasher.clone().finalize().into());
+        let digest = ResultDigest::from_bytes(self.hasher.clone().finalize().into());
         chunks == self.next_chunk
             && outcome.length_bytes == self.result.len() as u64
             && outcome.digest == digest
--- a/crates/amaranthscale/src/entry/request/caller_request.rs
+++ b/crates/amaranthscale/src/entry/request/caller_request.rs
@@ -4,9 +4,9 @@
 
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::id::{IdempotencyKey, OrganisationId, PipelineId, ServiceId};
-use amaranthscale_core::unit::{Budget, Class, RatePerSecond, Weight};
-use amaranthscale_core::version::{CompiledTree, Effective, Service, Stage};
-use amaranthscale_core::wire::Fingerprint;
+use amaranthscale_core::unit::{Class, RatePerSecond, TimeBudget, Weight};
+use amaranthscale_core::version::{CompiledTree, EffectiveSettings, Service, Stage};
+use amaranthscale_core::wire::CallFingerprint;
 use bytes::Bytes;
 use hyper::header::{ACCEPT, AUTHORIZATION};
 use hyper::{HeaderMap, Method, Uri};
@@ -50,9 +50,9 @@
     /// Key of a call that may not be repeated.
     pub key: Option<IdempotencyKey>,
     /// Digest of path and body, for a key that comes again.
-    pub fingerprint: Fingerprint,
+    pub fingerprint: CallFingerprint,
     /// Time until the answer is due.
-    pub budget: Budget,
+    pub budget: TimeBudget,
     /// Whether the caller wants tokens as they come.
     pub wants_stream: bool,
     /// Hash of the prompt's prefix, to find the engine that has it cached.
@@ -65,11 +65,11 @@
 #[derive(Debug, Clone)]
 pub struct CallerHead {
     organisation: OrganisationId,
-    effective: Effective,
+    effective: EffectiveSettings,
     target: Target,
     stages: Vec<Stage>,
     key: Option<IdempotencyKey>,
-    budget: Budget,
+    budget: TimeBudget,
     wants_stream: bool,
     path: String,
 }
@@ -132,7 +132,7 @@
             target: self.target,
             stages: self.stages,
             key: self.key,
-            fingerprint: Fingerprint::of(&self.path, &body),
+            fingerprint: CallFingerprint::of(&self.path, &body),
             budget: self.budget,
             wants_stream: self.wants_stream,
             affinity: hints
@@ -162,7 +162,7 @@
 fn caller<'a>(
     headers: &HeaderMap,
     tree: &'a CompiledTree,
-) -> Result<(&'a OrganisationId, &'a Effective), ResultCode> {
+) -> Result<(&'a OrganisationId, &'a EffectiveSettings), ResultCode> {
     let value = headers
         .get(AUTHORIZATION)
         .and_then(|value| value.to_str().ok());
@@ -177,7 +177,7 @@
 
 fn target(
     path: &str,
-    effective: &Effective,
+    effective: &EffectiveSettings,
     tree: &CompiledTree,
 ) -> Result<(Target, Vec<Stage>, Duration), ResultCode> {
     if let Some(name) = path.strip_prefix(PIPELINES) {
@@ -233,9 +233,9 @@
     headers: &HeaderMap,
     default: Duration,
     limits: DeadlineLimits,
-) -> Result<Budget, ResultCode> {
+) -> Result<TimeBudget, ResultCode> {
     let Some(value) = headers.get(DEADLINE_HEADER) else {
-        return Ok(Budget::new(default.min(limits.max)));
+        return Ok(TimeBudget::new(default.min(limits.max)));
     };
     let text = value.to_str().map_err(|_invalid| ResultCode::BadDeadline)?;
     let deadline_ms: u64 = text
@@ -246,7 +246,7 @@
     if deadline.is_zero() || deadline > limits.max {
         return Err(ResultCode::BadDeadline);
     }
-    Ok(Budget::new(deadline))
+    Ok(TimeBudget::new(deadline))
 }
 
 fn wants_stream(headers: &HeaderMap) -> bool {
--- a/crates/amaranthscale/src/entry/request/claim_check.rs
+++ b/crates/amaranthscale/src/entry/request/claim_check.rs
@@ -3,10 +3,10 @@
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::id::{AttemptId, HostId, Incarnation, RowVersion};
 use amaranthscale_core::request::{
-    AttemptFate, ClaimReading, StoredResult, attempt_fate, cancel_write, read_claim,
+    AttemptStatus, ClaimStatus, StoredResult, attempt_status, cancel_write, read_claim,
 };
 use amaranthscale_core::version::WriteStep;
-use amaranthscale_core::wire::{ClaimKey, ClaimTicket, Fingerprint, Outcome, Row};
+use amaranthscale_core::wire::{CallFingerprint, ClaimKey, ClaimTicket, Outcome, Row};
 use log::warn;
 use tokio::time::Instant;
 
@@ -42,7 +42,7 @@
 pub async fn check_claim(
     parts: &EntryParts,
     key: &ClaimKey,
-    fingerprint: Fingerprint,
+    fingerprint: CallFingerprint,
 ) -> ClaimNext {
     match parts.platform.row(&key.to_string()).await {
         Ok(row) => {
@@ -102,9 +102,9 @@
     attempt: AttemptId,
     row: &Row,
 ) -> ClaimNext {
-    match attempt_fate(row, attempt, ticket.version) {
-        AttemptFate::MayStart => ClaimNext::Final(Answer::of_code(ResultCode::OutcomeUnknown)),
-        AttemptFate::Claimed | AttemptFate::NeverRan | AttemptFate::Closed => {
+    match attempt_status(row, attempt, ticket.version) {
+        AttemptStatus::MayStart => ClaimNext::Final(Answer::of_code(ResultCode::OutcomeUnknown)),
+        AttemptStatus::Claimed | AttemptStatus::NeverRan | AttemptStatus::Closed => {
             next_for(parts, &ticket.key, ticket.fingerprint, row).await
         }
     }
@@ -113,12 +113,12 @@
 async fn next_for(
     parts: &EntryParts,
     key: &ClaimKey,
-    fingerprint: Fingerprint,
+    fingerprint: CallFingerprint,
     row: &Row,
 ) -> ClaimNext {
     match read_claim(row, &fingerprint) {
-        ClaimReading::Free { version } => ClaimNext::Dispatch(ticket_at(key, version, fingerprint)),
-        ClaimReading::Started {
+        ClaimStatus::Free { version } => ClaimNext::Dispatch(ticket_at(key, version, fingerprint)),
+        ClaimStatus::Started {
             host,
             incarnation,
             attempt,
@@ -128,14 +128,14 @@
             incarnation,
             attempt,
         }),
-        ClaimReading::Finished { outcome, result } => {
+        ClaimStatus::Finished { outcome, result } => {
             parts.counters.count("claim.replayed");
             ClaimNext::Final(replay(parts, outcome, result).await)
         }
-        ClaimReading::Unknown | ClaimReading::Corrupt => {
+        ClaimStatus::Unknown | ClaimStatus::Corrupt => {
             ClaimNext::Final(Answer::of_code(ResultCode::OutcomeUnknown))
         }
-        ClaimReading::KeyReused => ClaimNext::Final(Answer::of_code(ResultCode::KeyReused)),
+        ClaimStatus::KeyReused => ClaimNext::Final(Answer::of_code(ResultCode::KeyReused)),
     }
 }
 
@@ -159,7 +159,7 @@
     }
 }
 
-fn ticket_at(key: &ClaimKey, version: RowVersion, fingerprint: Fingerprint) -> ClaimTicket {
+fn ticket_at(key: &ClaimKey, version: RowVersion, fingerprint: CallFingerprint) -> ClaimTicket {
     ClaimTicket {
         key: key.clone(),
         version,
--- a/crates/amaranthscale/src/entry/request/stage_task.rs
+++ b/crates/amaranthscale/src/entry/request/stage_task.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use amaranthscale_core::id::{AttemptId, AttemptNumber, HostId, RequestId, ServiceId, StageIndex};
-use amaranthscale_core::unit::Budget;
+use amaranthscale_core::unit::TimeBudget;
 use amaranthscale_core::version::Stage;
 use amaranthscale_core::wire::Dispatch;
 use bytes::Bytes;
@@ -74,7 +74,7 @@
         let now = Instant::now();
         let left = self.due.saturating_duration_since(now);
         let margin = LONGEST_MARGIN.min(left / MARGIN_DIVISOR);
-        let budget = Budget::new(left.saturating_sub(margin));
+        let budget = TimeBudget::new(left.saturating_sub(margin));
         let stage_left = stage_due.saturating_duration_since(now);
         let request = self.request;
         Dispatch {
--- a/crates/amaranthscale/src/gateway/connection/server_pool.rs
+++ b/crates/amaranthscale/src/gateway/connection/server_pool.rs
@@ -9,7 +9,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-use amaranthscale_core::id::ServerLife;
+use amaranthscale_core::id::ServerIncarnation;
 use amaranthscale_core::process::{ConnectionShare, ServerRecord};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -36,7 +36,7 @@
 /// A connection to a backend server.
 #[derive(Debug)]
 pub struct ServerConnection {
-    server: ServerLife,
+    server: ServerIncarnation,
     connection: Http1Connection,
     is_kept: bool,
     /// How long it took to open.
@@ -80,7 +80,7 @@
 /// Kept connections by server.
 #[derive(Debug, Default)]
 pub struct ServerPool {
-    idle: Mutex<BTreeMap<ServerLife, Vec<Idle>>>,
+    idle: Mutex<BTreeMap<ServerIncarnation, Vec<Idle>>>,
 }
 
 impl ServerPool {
@@ -95,7 +95,7 @@
     /// A new connection.
     pub async fn fresh(
         &self,
-        server: &ServerLife,
+        server: &ServerIncarnation,
         address: SocketAddr,
     ) -> Result<ServerConnection, SendError> {
         let started = Instant::now();
@@ -129,7 +129,7 @@
     }
 
     /// Closes connections to servers that are gone, and those that were idle for too long.
-    pub fn retain(&self, is_known: impl Fn(&ServerLife) -> bool) {
+    pub fn retain(&self, is_known: impl Fn(&ServerIncarnation) -> bool) {
         let now = Instant::now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.retain(|server, kept| {
@@ -139,7 +139,7 @@
     }
 
     /// A kept connection.
-    pub fn kept(&self, server: &ServerLife) -> Option<ServerConnection> {
+    pub fn kept(&self, server: &ServerIncarnation) -> Option<ServerConnection> {
         let now = Instant::now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let kept = idle.get_mut(server)?;
--- a/crates/amaranthscale/src/gateway/daemon.rs
+++ b/crates/amaranthscale/src/gateway/daemon.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use amaranthscale_core::id::ServerLife;
+use amaranthscale_core::id::ServerIncarnation;
 use amaranthscale_core::process::{BackendChoice, Cell};
 use log::info;
 use quick_error::quick_error;
@@ -260,7 +260,7 @@
     loop {
         tokio::time::sleep(SWEEP).await;
         let servers = parts.knowledge.servers();
-        let is_known = |life: &ServerLife| servers.is_usable(life);
+        let is_known = |life: &ServerIncarnation| servers.is_usable(life);
         parts.pool.retain(is_known);
         parts.choice().retain(is_known);
         parts.bounded.retain(is_known);
--- a/crates/amaranthscale/src/gateway/process/batch_message.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_message.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use amaranthscale_core::id::{ResultHandle, ServerLife};
+use amaranthscale_core::id::{ResultHandle, ServerIncarnation};
 use amaranthscale_core::process::{
     BatchEnd, BatchId, Frees, JobFailure, JobId, KeptPiece, PipelineOrder, ToldLoad,
 };
@@ -36,7 +36,7 @@
     /// A call with some of its pieces was cut off at a server.
     CutOff {
         /// The server.
-        server: ServerLife,
+        server: ServerIncarnation,
         /// Where it listened.
         address: SocketAddr,
     },
--- a/crates/amaranthscale/src/gateway/process/batch_owner.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_owner.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use amaranthscale_core::id::{CallId, ServerLife};
+use amaranthscale_core::id::{CallId, ServerIncarnation};
 use amaranthscale_core::process::{
     Batcher, Cell, ColdBounds, JobEvent, JobFailure, JobId, JobRefused, KeepingUp, Pace, ServerUse,
     StageTimes,
@@ -67,7 +67,7 @@
     arguments: BatchOwnerArguments,
     batcher: Batcher,
     waiting: BTreeMap<JobId, Waiting>,
-    freeing: BTreeSet<ServerLife>,
+    freeing: BTreeSet<ServerIncarnation>,
     next_look: Option<NextLook>,
     keeping_up: KeepingUp,
     is_stopping: bool,
@@ -288,11 +288,11 @@
     fn send_frees(&mut self, myself: &ActorRef<BatchOwnerMessage>) {
         let freeing = &self.freeing;
         let servers = self.arguments.knowledge.servers();
-        let takes_none = |life: &ServerLife| {
+        let takes_none = |life: &ServerIncarnation| {
             let server_use = servers.use_of(life, None, Duration::ZERO);
             matches!(server_use, ServerUse::Evacuated | ServerUse::Limited { .. })
         };
-        let is_wanted = |life: &ServerLife| !freeing.contains(life) && !takes_none(life);
+        let is_wanted = |life: &ServerIncarnation| !freeing.contains(life) && !takes_none(life);
         for frees in self.batcher.take_frees(is_wanted) {
             self.freeing.insert(frees.server.clone());
             let myself = myself.clone();
--- a/crates/amaranthscale/src/gateway/process/bounded_servers.rs
+++ b/crates/amaranthscale/src/gateway/process/bounded_servers.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use amaranthscale_core::id::ServerLife;
+use amaranthscale_core::id::ServerIncarnation;
 use amaranthscale_core::process::{ColdBounds, RecentSends, SendBound, SendShare};
 
 /// Time after a start in which nothing is sent to such servers: an earlier life at the address may
@@ -36,7 +36,7 @@
 #[derive(Debug, Default)]
 struct State {
     sends: RecentSends,
-    shares: BTreeMap<ServerLife, KnownShare>,
+    shares: BTreeMap<ServerIncarnation, KnownShare>,
 }
 
 /// A share, which costs a pass over all gateways to work out.
@@ -64,21 +64,21 @@
     }
 
     /// Whether one more request may be given a server.
-    pub fn has_place(&self, server: &ServerLife, basis: &ShareBasis, now: Duration) -> bool {
+    pub fn has_place(&self, server: &ServerIncarnation, basis: &ShareBasis, now: Duration) -> bool {
         let mut state = self.state();
         let share = self.share(&mut state, server, basis, now);
         state.sends.has_place(server, share, now)
     }
 
     /// Counts a choice of a server.
-    pub fn chosen(&self, server: &ServerLife, basis: &ShareBasis, now: Duration) {
+    pub fn chosen(&self, server: &ServerIncarnation, basis: &ShareBasis, now: Duration) {
         let mut state = self.state();
         let share = self.share(&mut state, server, basis, now);
         state.sends.chosen(server, share, now);
     }
 
     /// Takes one send that is about to leave; false if this gateway's share is used up.
-    pub fn try_send(&self, server: &ServerLife, basis: &ShareBasis, now: Duration) -> bool {
+    pub fn try_send(&self, server: &ServerIncarnation, basis: &ShareBasis, now: Duration) -> bool {
         let mut state = self.state();
         let share = self.share(&mut state, server, basis, now);
         state.sends.try_send(server, share, now)
@@ -87,7 +87,7 @@
     /// When one more request may be given a server; none if this gateway sends it nothing.
     pub fn next_place(
         &self,
-        server: &ServerLife,
+        server: &ServerIncarnation,
         basis: &ShareBasis,
         now: Duration,
     ) -> Option<Duration> {
@@ -97,12 +97,12 @@
     }
 
     /// Counts a send to a server of a service that may have cold ones, while it is not known to be.
-    pub fn sent(&self, server: &ServerLife, now: Duration) {
+    pub fn sent(&self, server: &ServerIncarnation, now: Duration) {
         self.state().sends.sent(server, now);
     }
 
     /// Forgets servers that are gone.
-    pub fn retain(&self, is_known: impl Fn(&ServerLife) -> bool) {
+    pub fn retain(&self, is_known: impl Fn(&ServerIncarnation) -> bool) {
         let mut state = self.state();
         state.sends.retain(&is_known);
         state.shares.retain(|server, _| is_known(server));
@@ -111,7 +111,7 @@
     fn share(
         &self,
         state: &mut State,
-        server: &ServerLife,
+        server: &ServerIncarnation,
         basis: &ShareBasis,
         now: Duration,
     ) -> SendShare {
--- a/crates/amaranthscale/src/gateway/process/crash_watch.rs
+++ b/crates/amaranthscale/src/gateway/process/crash_watch.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use amaranthscale_core::id::{EvidenceId, InstanceId, RequestFingerprint, ServerLife};
+use amaranthscale_core::id::{EvidenceId, InstanceId, RequestFingerprint, ServerIncarnation};
 use amaranthscale_core::process::{
     CrashEvidence, LossStep, LostRuns, Quarantine, QuarantineChange, Verdict,
 };
@@ -175,7 +175,7 @@
     /// Notes a run whose connection ended before its answer did.
     pub(crate) fn lost(
         self: &Arc<Self>,
-        server: &ServerLife,
+        server: &ServerIncarnation,
         address: SocketAddr,
         content: &RequestContent,
     ) {
@@ -212,7 +212,7 @@
         self.note_untold(&mut state, now);
     }
 
-    async fn look_at(&self, server: ServerLife, address: SocketAddr) {
+    async fn look_at(&self, server: ServerIncarnation, address: SocketAddr) {
         tokio::time::sleep(LOOK_AFTER).await;
         let port = probe_port(address, LOOK_PATIENCE).await;
         self.counters.count_reason("servers.looked-at", port.name());
@@ -227,7 +227,7 @@
     /// Takes servers for crashed that lost runs and are listed no more.
     pub(crate) fn servers_changed(&self) {
         let servers = self.knowledge.servers();
-        let is_listed = |life: &ServerLife| servers.is_listed(life);
+        let is_listed = |life: &ServerIncarnation| servers.is_listed(life);
         let missing = self.state().lost.missing(is_listed);
         for server in missing {
             let requests = self.state().lost.gone(&server);
@@ -237,7 +237,7 @@
 
     fn crashed(
         &self,
-        server: &ServerLife,
+        server: &ServerIncarnation,
         sign: &'static str,
         requests: BTreeSet<RequestFingerprint>,
     ) {
@@ -310,7 +310,7 @@
     }
 
     /// Requests that are held back, each with the servers that crashed under it.
-    pub(crate) fn held_requests(&self) -> Vec<(RequestFingerprint, Vec<ServerLife>)> {
+    pub(crate) fn held_requests(&self) -> Vec<(RequestFingerprint, Vec<ServerIncarnation>)> {
         let state = self.state();
         let held = state.quarantine.held();
         held.map(|(request, servers)| (request, servers.iter().cloned().collect()))
--- a/crates/amaranthscale/src/gateway/process/limit_watch.rs
+++ b/crates/amaranthscale/src/gateway/process/limit_watch.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use amaranthscale_core::id::ServerLife;
+use amaranthscale_core::id::ServerIncarnation;
 use amaranthscale_core::process::{LimitWords, ServerLimit};
 use hyper::http::response;
 use log::info;
@@ -43,7 +43,7 @@
     pub(crate) fn heard(
         &self,
         dialect: &Dialect,
-        server: &ServerLife,
+        server: &ServerIncarnation,
         head: &response::Parts,
         sent_at: Instant,
     ) {
@@ -73,7 +73,7 @@
     }
 
     /// Takes what another gateway told of a server; none where its word was removed.
-    pub(crate) fn take(&self, server: &ServerLife, limit: Option<ServerLimit>) {
+    pub(crate) fn take(&self, server: &ServerIncarnation, limit: Option<ServerLimit>) {
         if self.words().told(server, limit, self.clock.now()) {
             self.changed(server, limit, "store");
         }
@@ -82,7 +82,7 @@
     }
 
     /// Takes which servers' words a whole table holds.
-    pub(crate) fn keep_only(&self, named: &[ServerLife]) {
+    pub(crate) fn keep_only(&self, named: &[ServerIncarnation]) {
         let ended = self.words().keep_only(named);
         for server in ended {
             self.changed(&server, None, "store");
@@ -101,27 +101,27 @@
     }
 
     /// Words that this gateway heard and the store does not say.
-    pub(super) fn untold(&self) -> Vec<(ServerLife, Option<ServerLimit>)> {
+    pub(super) fn untold(&self) -> Vec<(ServerIncarnation, Option<ServerLimit>)> {
         self.words().untold()
     }
 
     /// Notes that the store has taken a word.
-    pub(super) fn stored(&self, server: &ServerLife, limit: Option<ServerLimit>) {
+    pub(super) fn stored(&self, server: &ServerIncarnation, limit: Option<ServerLimit>) {
         self.words().stored(server, limit);
     }
 
     /// Forgets servers that are gone; names those of which the store still says something.
-    pub(super) fn forget_gone(&self) -> Vec<ServerLife> {
+    pub(super) fn forget_gone(&self) -> Vec<ServerIncarnation> {
         let servers = self.knowledge.servers();
         self.words().forget_gone(|server| servers.is_listed(server))
     }
 
     /// Servers with a limit, for operators.
-    pub(crate) fn limits(&self) -> Vec<(ServerLife, ServerLimit)> {
+    pub(crate) fn limits(&self) -> Vec<(ServerIncarnation, ServerLimit)> {
         self.words().limits()
     }
 
-    fn changed(&self, server: &ServerLife, limit: Option<ServerLimit>, by: &'static str) {
+    fn changed(&self, server: &ServerIncarnation, limit: Option<ServerLimit>, by: &'static str) {
         self.knowledge
             .change_servers(|servers, _now| servers.set_limit(server, limit));
         if let Some(limit) = limit {
--- a/crates/amaranthscale/src/gateway/process/single_run.rs
+++ b/crates/amaranthscale/src/gateway/process/single_run.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use amaranthscale_core::id::{EvidenceId, InstanceId, RequestFingerprint, ServerLife};
+use amaranthscale_core::id::{EvidenceId, InstanceId, RequestFingerprint, ServerIncarnation};
 use amaranthscale_core::process::CrashEvidence;
 use log::{info, warn};
 
@@ -93,7 +93,7 @@
 }
 
 /// Stands for the server that a claimed run may crash.
-fn stand_in(instance: &InstanceId) -> Result<ServerLife, String> {
+fn stand_in(instance: &InstanceId) -> Result<ServerIncarnation, String> {
     let name = format!("single:{instance}");
     name.parse().map_err(|error| format!("{error}"))
 }
--- a/crates/amaranthscale/src/gateway/process/tell_limits.rs
+++ b/crates/amaranthscale/src/gateway/process/tell_limits.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use amaranthscale_core::id::ServerLife;
+use amaranthscale_core::id::ServerIncarnation;
 use amaranthscale_core::process::{Cell, ServerLimit};
 use log::{info, warn};
 
@@ -36,7 +36,7 @@
 async fn tell(
     parts: &GatewayParts,
     store: &StoreCalls,
-    server: &ServerLife,
+    server: &ServerIncarnation,
     limit: Option<ServerLimit>,
 ) {
     let request = match limit {
--- a/crates/amaranthscale/src/gateway/request/caller.rs
+++ b/crates/amaranthscale/src/gateway/request/caller.rs
@@ -239,7 +239,7 @@
     route: &Route,
     head: &request::Parts,
 ) -> Result<Option<Arc<KeyHolder>>, Refused> {
-    if route.is_public || !routing.is_keyed() {
+    if route.is_public || !routing.requires_keys() {
         return Ok(None);
     }
     if parts.knowledge.age().is_none_or(|age| age > parts.key_age) {
--- a/crates/amaranthscale/src/gateway/request/engine_run.rs
+++ b/crates/amaranthscale/src/gateway/request/engine_run.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use amaranthscale_core::ResultCode;
-use amaranthscale_core::id::{InstanceId, ResultHandle, ServerLife, ServiceId};
+use amaranthscale_core::id::{InstanceId, ResultHandle, ServerIncarnation, ServiceId};
 use amaranthscale_core::process::{
     ConnectionShare, JobFailure, PipelineOrder, SeenLoad, SendingEntry, ServerRecord, StageOrder,
     USUAL_ENGINE_TIME,
@@ -40,7 +40,7 @@
     pub(super) admitted: Admitted,
     pub(super) service: ServiceId,
     pub(super) outgoing: Outgoing,
-    tried: BTreeSet<ServerLife>,
+    tried: BTreeSet<ServerIncarnation>,
     /// Engines at which the request may have run.
     pub(super) ran: u32,
     rejected: u32,
@@ -58,7 +58,7 @@
 pub(super) struct Running {
     pub(super) begun: BegunAnswer,
     pub(super) pieces: Option<MadePieces>,
-    pub(super) server: ServerLife,
+    pub(super) server: ServerIncarnation,
 }
 
 /// The results that a request needs before an engine can run it.
@@ -227,7 +227,7 @@
     }
 
     /// Leaves an engine out for the rest of the request.
-    pub(super) fn leave_out(&mut self, server: ServerLife) {
+    pub(super) fn leave_out(&mut self, server: ServerIncarnation) {
         self.tried.insert(server);
     }
 
@@ -263,8 +263,10 @@
                 stages,
                 rank: self.admitted.rank,
                 worth_tokens: self.admitted.work.worth_tokens,
-                aim: route.aim,
-                aim_left: route.aim.saturating_sub(self.admitted.arrived.elapsed()),
+                aim: route.target_latency,
+                aim_left: route
+                    .target_latency
+                    .saturating_sub(self.admitted.arrived.elapsed()),
                 deadline_left: self.admitted.left().saturating_sub(ENGINE_RESERVE),
                 engine_time: self.engine_time(),
                 reader_zone: reader.zone.clone(),
@@ -304,7 +306,7 @@
         let tokens = self.admitted.work.prompt_tokens;
         let expected = self.parts.prompt_times.expected(&self.service, tokens);
         // A prompt that takes all of the aim cannot be in time whatever its pieces take.
-        let most = self.admitted.route.aim / 2;
+        let most = self.admitted.route.target_latency / 2;
         expected.unwrap_or(USUAL_ENGINE_TIME).min(most)
     }
 
--- a/crates/amaranthscale/src/gateway/request/plain_run.rs
+++ b/crates/amaranthscale/src/gateway/request/plain_run.rs
@@ -74,7 +74,7 @@
     parts: &'a Arc<GatewayParts>,
     admitted: &'a Admitted,
     service: &'a ServiceId,
-    tried: BTreeSet<amaranthscale_core::id::ServerLife>,
+    tried: BTreeSet<amaranthscale_core::id::ServerIncarnation>,
     may_have_run: u32,
     rejected: u32,
     /// A server's failure that is passed on if no other server does better.
@@ -206,7 +206,7 @@
         if !route.kind.may_repeat() || is_last {
             return left;
         }
-        let patience = route.aim * PATIENCE_AIMS;
+        let patience = route.target_latency * PATIENCE_AIMS;
         patience.max(SHORTEST_PATIENCE).min(left)
     }
 
@@ -232,7 +232,10 @@
     fn log_answer(&self, answer: &WholeAnswer, server: &ServerRecord) {
         let (admitted, elapsed) = (self.admitted, self.admitted.arrived.elapsed());
         let sends = self.may_have_run + self.rejected;
-        if sends == 1 && elapsed <= admitted.route.aim && !answer.status.is_server_error() {
+        if sends == 1
+            && elapsed <= admitted.route.target_latency
+            && !answer.status.is_server_error()
+        {
             return;
         }
         info!(
@@ -241,7 +244,7 @@
             server:% = server.life, status = answer.status.as_u16(), sends,
             in_flight = self.seen.in_flight, told:% = self.seen.told,
             told_age_ms:% = self.seen.told_age_ms,
-            aim_ms = ms(admitted.route.aim), ms = ms(elapsed);
+            aim_ms = ms(admitted.route.target_latency), ms = ms(elapsed);
             "request: answered"
         );
     }
--- a/crates/amaranthscale/src/gateway/request/send.rs
+++ b/crates/amaranthscale/src/gateway/request/send.rs
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub(super) struct Sent {
     parts: std::sync::Arc<GatewayParts>,
-    server: amaranthscale_core::id::ServerLife,
+    server: amaranthscale_core::id::ServerIncarnation,
     address: SocketAddr,
     started: Instant,
     end: SendEnd,
--- a/crates/amaranthscale/src/gateway/request/stream_relay.rs
+++ b/crates/amaranthscale/src/gateway/request/stream_relay.rs
@@ -8,7 +8,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-use amaranthscale_core::id::ServerLife;
+use amaranthscale_core::id::ServerIncarnation;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::Response;
@@ -168,7 +168,7 @@
     }
 
     /// Goes on at another engine, if the route allows it.
-    async fn resume(&mut self, server: ServerLife) -> Option<Running> {
+    async fn resume(&mut self, server: ServerIncarnation) -> Option<Running> {
         if !self.run.may_repeat() {
             return None;
         }
@@ -189,7 +189,7 @@
         Some(running)
     }
 
-    fn log(&self, end: &'static str, server: &ServerLife, first_at: Duration) {
+    fn log(&self, end: &'static str, server: &ServerIncarnation, first_at: Duration) {
         let admitted = &self.run.admitted;
         // Named only where something went wrong, as a name costs a hash of the body.
         let fingerprint = if end == "whole" {
@@ -207,7 +207,7 @@
             prompt_tokens = admitted.work.prompt_tokens,
             in_flight = seen.in_flight, told:% = seen.told, told_age_ms:% = seen.told_age_ms,
             pieces_ms = ms(pieces_at - admitted.arrived),
-            aim_ms = ms(admitted.route.aim), begun_ms = ms(first_at), ms = ms(Instant::now() - admitted.arrived);
+            aim_ms = ms(admitted.route.target_latency), begun_ms = ms(first_at), ms = ms(Instant::now() - admitted.arrived);
             "stream: ended"
         );
     }
--- a/crates/amaranthscale/src/gateway/store_calls.rs
+++ b/crates/amaranthscale/src/gateway/store_calls.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use amaranthscale_core::id::{EvidenceId, InstanceId, RowVersion, ServerId, ServerLife};
+use amaranthscale_core::id::{EvidenceId, InstanceId, RowVersion, ServerId, ServerIncarnation};
 use amaranthscale_core::process::{
     Announcement, CrashEvidence, ServerLimit, ServerRecord, ZoneChange,
 };
@@ -105,7 +105,7 @@
 pub type ToldEvidence = (EvidenceId, Option<CrashEvidence>);
 
 /// The limit that a server has named; none where the word was removed.
-pub type ToldLimit = (ServerLife, Option<ServerLimit>);
+pub type ToldLimit = (ServerIncarnation, Option<ServerLimit>);
 
 /// How one platform's store is called.
 #[derive(Debug, Clone)]
@@ -127,9 +127,9 @@
     /// Removes what was told.
     pub take_back: fn(&EvidenceId) -> Request<Full<Bytes>>,
     /// Tells of a server's limit.
-    pub tell_limit: fn(&ServerLife, ServerLimit) -> Request<Full<Bytes>>,
+    pub tell_limit: fn(&ServerIncarnation, ServerLimit) -> Request<Full<Bytes>>,
     /// Removes what was told of it.
-    pub end_limit: fn(&ServerLife) -> Request<Full<Bytes>>,
+    pub end_limit: fn(&ServerIncarnation) -> Request<Full<Bytes>>,
     /// Reads an answer.
     pub answer: fn(StatusCode, &[u8]) -> Result<StoreAnswer, String>,
     /// Reads the routing from its row; none if the row is another one.
--- a/crates/amaranthscale/src/gateway/version/copied_table.rs
+++ b/crates/amaranthscale/src/gateway/version/copied_table.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use amaranthscale_core::id::RowVersion;
-use amaranthscale_core::version::{TableCopy, TableNews};
+use amaranthscale_core::version::{TableChanges, TableCopy};
 use bytes::Bytes;
 use log::{info, warn};
 use tokio::sync::{OnceCell, watch};
@@ -260,8 +260,8 @@
             return None;
         }
         let (version, clock) = (self.copy.version(), self.copy.clock());
-        Some(match self.copy.since(question.after) {
-            TableNews::All(rows) => {
+        Some(match self.copy.changes_since(question.after) {
+            TableChanges::Full(rows) => {
                 let rows = rows.into_iter();
                 let rows = rows.map(|(key, value, version)| row(key, Some(value), version));
                 let rows: Vec<_> = rows.collect();
@@ -271,7 +271,7 @@
                     HandedRows::All(as_of(rows, version, clock))
                 }
             }
-            TableNews::Changed(rows) => {
+            TableChanges::Incremental(rows) => {
                 let rows = rows.into_iter();
                 let rows = rows.map(|(key, value, version)| row(key, value, version));
                 let rows: Vec<_> = rows.collect();
--- a/crates/amaranthscale/src/operator/ctl/program.rs
+++ b/crates/amaranthscale/src/operator/ctl/program.rs
@@ -4,7 +4,7 @@
 use std::io::{Write, stderr, stdout};
 
 use amaranthscale_core::id::{OrganisationId, TreeVersion};
-use amaranthscale_core::version::{Effective, OverrideField, SettingsTree, TreeError};
+use amaranthscale_core::version::{EffectiveSettings, OverrideField, SettingsTree, TreeError};
 use clap::ArgMatches;
 use clap_complete::Shell;
 use serde::Serialize;
@@ -108,7 +108,7 @@
     Ok(format!("{value}\n"))
 }
 
-fn effective(tree: &SettingsTree, id: &OrganisationId) -> Result<Effective, CtlError> {
+fn effective(tree: &SettingsTree, id: &OrganisationId) -> Result<EffectiveSettings, CtlError> {
     let unknown = || TreeError::NoSuchOrganisation(id.clone());
     Ok(tree.effective(id).ok_or_else(unknown)?)
 }
--- a/crates/amaranthscale/src/operator/ctl/render.rs
+++ b/crates/amaranthscale/src/operator/ctl/render.rs
@@ -5,7 +5,8 @@
 use amaranthscale_core::id::OrganisationId;
 use amaranthscale_core::unit::RatePerSecond;
 use amaranthscale_core::version::{
-    EditRecord, Effective, Organisation, OverrideField, Pipeline, Service, SettingsTree, Stage,
+    EditRecord, EffectiveSettings, Organisation, OverrideField, Pipeline, Service, SettingsTree,
+    Stage,
 };
 use serde_json::Value;
 
@@ -33,7 +34,7 @@
 }
 
 /// The values in force for an organisation, and where each comes from.
-pub(super) fn effective(effective: &Effective) -> String {
+pub(super) fn effective(effective: &EffectiveSettings) -> String {
     let suspended = &effective.is_suspended;
     let mut rows = vec![["field", "value", "from"].map(str::to_owned)];
     for field in OverrideField::ALL {
@@ -46,7 +47,10 @@
 }
 
 /// One value in force, and where it comes from.
-pub(super) fn field(effective: &Effective, field: OverrideField) -> (String, &OrganisationId) {
+pub(super) fn field(
+    effective: &EffectiveSettings,
+    field: OverrideField,
+) -> (String, &OrganisationId) {
     match field {
         OverrideField::Class => (effective.class.value.to_string(), &effective.class.from),
         OverrideField::LimitPerSecond => {
--- a/crates/amaranthscale/src/sidecar/claims.rs
+++ b/crates/amaranthscale/src/sidecar/claims.rs
@@ -9,11 +9,11 @@
 
 use amaranthscale_core::id::{AttemptId, HostId, Incarnation, RowVersion};
 use amaranthscale_core::request::{
-    AttemptFate, StoredResult, attempt_fate, cancel_write, claim_write, finish_write,
+    AttemptStatus, StoredResult, attempt_status, cancel_write, claim_write, finish_write,
     mark_unknown_write,
 };
 use amaranthscale_core::version::WriteStep;
-use amaranthscale_core::wire::{ClaimTicket, Fingerprint, Outcome, Row};
+use amaranthscale_core::wire::{CallFingerprint, ClaimTicket, Outcome, Row};
 use amaranthscale_core::{Ran, ResultCode};
 use bytes::Bytes;
 use log::{info, warn};
@@ -94,7 +94,7 @@
             WriteStep::LostTo { row } | WriteStep::Undecided { row } => row,
             _ours => return,
         };
-        if attempt_fate(&row, attempt, ticket.version) == AttemptFate::Claimed {
+        if attempt_status(&row, attempt, ticket.version) == AttemptStatus::Claimed {
             self.counters.count("claim.late_effect");
             info!("sidecar: claim of {attempt} took effect late and is freed");
             self.release(ticket, &row).await;
@@ -110,7 +110,7 @@
     pub(super) async fn finish(
         &self,
         started: &Row,
-        fingerprint: Fingerprint,
+        fingerprint: CallFingerprint,
         outcome: Outcome,
         result: Bytes,
     ) {
--- a/crates/amaranthscale/src/sidecar/orders.rs
+++ b/crates/amaranthscale/src/sidecar/orders.rs
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 
 use amaranthscale_core::version::{
-    Assignment, EngineOrder, EngineOrders, PLACEMENT_HEAD_KEY, PLACEMENT_KEY, PlacementOffer,
+    Assignment, EngineOrder, EngineOrders, PLACEMENT_HEAD_KEY, PLACEMENT_KEY, PlacementUpdate,
     read_placement_head,
 };
 use amaranthscale_core::wire::Row;
@@ -105,10 +105,10 @@
             Ok(row) => row,
             Err(_away) => return self.counters.count("orders.placement_unread"),
         };
-        match self.orders.offer(&row) {
-            PlacementOffer::Taken => info!("sidecar: placement {} is taken", row.version),
-            PlacementOffer::NotNewer => {}
-            PlacementOffer::Corrupt => {
+        match self.orders.observe(&row) {
+            PlacementUpdate::Applied => info!("sidecar: placement {} is taken", row.version),
+            PlacementUpdate::NotNewer => {}
+            PlacementUpdate::Corrupt => {
                 self.counters.count("orders.placement_corrupt");
                 warn!("sidecar: placement {} cannot be read", row.version);
             }
@@ -127,7 +127,7 @@
     async fn read_engine(&mut self) -> Option<Assignment> {
         match self.engine.running().await {
             Ok(running) => {
-                self.orders.reported(running.clone());
+                self.orders.observe_running(running.clone());
                 self.shown.set_running(running.clone());
                 Some(running)
             }
@@ -140,7 +140,7 @@
     }
 
     async fn carry_out(&mut self, order: EngineOrder, running: &Assignment) {
-        if order.replaces_silent {
+        if order.replaces_unanswered {
             self.counters.count("orders.after_silence");
         }
         self.shown.set_in_flight(Some(order.number));
--- a/crates/amaranthscale/src/sidecar/routes.rs
+++ b/crates/amaranthscale/src/sidecar/routes.rs
@@ -5,7 +5,7 @@
 
 use amaranthscale_core::id::AttemptId;
 use amaranthscale_core::wire::{
-    self, Dispatch, Fetch, Hello, Outcome, Revoke, RevokeReply, TreeSince,
+    self, Dispatch, Fetch, Hello, Outcome, Revoke, RevokeReply, TreeRequest,
 };
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -98,7 +98,7 @@
     }
 
     async fn tree_since(&self, request: Request<Incoming>) -> Answered {
-        let ask: TreeSince = self.read(ControlKind::TreeExchange, request).await?;
+        let ask: TreeRequest = self.read(ControlKind::TreeExchange, request).await?;
         let board = &self.runner.board;
         board.tree.heard(ask.version);
         Ok(self.packed(ControlKind::TreeExchange, &board.tree.since(&ask)))
--- a/crates/amaranthscale/src/sidecar/runner/relay.rs
+++ b/crates/amaranthscale/src/sidecar/runner/relay.rs
@@ -2,7 +2,7 @@
 
 use super::token_count::TokenCount;
 use amaranthscale_core::ResultCode;
-use amaranthscale_core::wire::{Digest, Outcome};
+use amaranthscale_core::wire::{Outcome, ResultDigest};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -113,7 +113,7 @@
         let mut outcome = Outcome::without_result(code);
         outcome.backend_status = status.as_u16();
         outcome.length_bytes = self.length_bytes;
-        outcome.digest = Digest::from_bytes(self.hasher.finalize().into());
+        outcome.digest = ResultDigest::from_bytes(self.hasher.finalize().into());
         outcome.cost.tokens = number(headers, TOKENS).unwrap_or_else(|| {
             if is_stream(headers) {
                 self.token_count.tokens()
--- a/crates/amaranthscale/src/sidecar/tree_source.rs
+++ b/crates/amaranthscale/src/sidecar/tree_source.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 
 use amaranthscale_core::id::TreeVersion;
-use amaranthscale_core::wire::{TreeReply, TreeSince};
+use amaranthscale_core::wire::{TreeReply, TreeRequest};
 
-type Since = dyn Fn(&TreeSince) -> TreeReply + Send + Sync;
+type Since = dyn Fn(&TreeRequest) -> TreeReply + Send + Sync;
 type Version = dyn Fn() -> TreeVersion + Send + Sync;
 type Heard = dyn Fn(TreeVersion) + Send + Sync;
 
@@ -24,7 +24,7 @@
     /// `since` answers a peer that is behind, `version` tells the version at hand, and `heard` is
     /// told each version that a peer shows.
     pub fn new(
-        since: impl Fn(&TreeSince) -> TreeReply + Send + Sync + 'static,
+        since: impl Fn(&TreeRequest) -> TreeReply + Send + Sync + 'static,
         version: impl Fn() -> TreeVersion + Send + Sync + 'static,
         heard: impl Fn(TreeVersion) + Send + Sync + 'static,
     ) -> Self {
@@ -37,7 +37,7 @@
 
     /// Answers a peer that asks for what it has not.
     #[must_use]
-    pub fn since(&self, ask: &TreeSince) -> TreeReply {
+    pub fn since(&self, ask: &TreeRequest) -> TreeReply {
         (self.since)(ask)
     }
 
--- a/crates/amaranthscale/src/version/planner.rs
+++ b/crates/amaranthscale/src/version/planner.rs
@@ -19,7 +19,7 @@
 use amaranthscale_core::id::{FencingNumber, Incarnation, PlacementVersion};
 use amaranthscale_core::unit::SidecarClock;
 use amaranthscale_core::version::{
-    CompiledTree, HeldLease, LEASE_KEY, LoadTrack, PLACEMENT_KEY, Placement, PlanQuestion,
+    CompiledTree, HeldLease, LEASE_KEY, LoadTracker, PLACEMENT_KEY, Placement, PlanInput,
     PlannedPlacement, PlannerLease, WriteStep, placement_write, plan_placement,
 };
 use amaranthscale_core::wire::{HostList, Row};
@@ -66,7 +66,7 @@
     arguments: PlannerArguments,
     published: watch::Sender<PlannerStatus>,
     lease: PlannerLease,
-    loads: LoadTrack,
+    loads: LoadTracker,
     random: SmallRng,
     started: Instant,
     has_wanted_models: bool,
@@ -87,7 +87,7 @@
         myself.cast(PlannerMessage::Turn)?;
         Ok(PlannerState {
             lease: PlannerLease::new(arguments.host.clone(), incarnation, settings.lease),
-            loads: LoadTrack::new(settings.load_patience),
+            loads: LoadTracker::new(settings.load_patience),
             random: SmallRng::seed_from_u64(arguments.seed),
             started: Instant::now(),
             has_wanted_models: false,
@@ -172,11 +172,11 @@
             self.count("tree_behind");
             return Ok(());
         }
-        self.loads.follow(&current.assignments, self.now());
+        self.loads.set_placement(&current.assignments, self.now());
         for (host, running) in read_reports(&self.arguments, &self.loads, hosts).await {
-            self.loads.reported(&host, &running);
+            self.loads.observe_running(&host, &running);
         }
-        let planned = plan_placement(&PlanQuestion {
+        let planned = plan_placement(&PlanInput {
             services: &tree.tree().services,
             hosts,
             current: &current.assignments,
--- a/crates/amaranthscale/src/version/planner/load_reports.rs
+++ b/crates/amaranthscale/src/version/planner/load_reports.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use amaranthscale_core::id::HostId;
-use amaranthscale_core::version::{Assignment, LoadTrack};
+use amaranthscale_core::version::{Assignment, LoadTracker};
 use amaranthscale_core::wire::{self, EngineReport, HostList};
 use tokio::task::JoinSet;
 use tokio::time::timeout;
@@ -25,10 +25,10 @@
 /// Only those are asked: a few at a time, as loads are paced, and all once after a take-over.
 pub(super) async fn read_reports(
     arguments: &PlannerArguments,
-    loads: &LoadTrack,
+    loads: &LoadTracker,
     hosts: &HostList,
 ) -> Vec<(HostId, Assignment)> {
-    let loading = loads.loading_hosts();
+    let loading = loads.hosts_with_loading_replicas();
     let mut asking = JoinSet::new();
     for record in &hosts.hosts {
         if loading.contains(&record.host) {
--- a/crates/amaranthscale/src/version/tree_client.rs
+++ b/crates/amaranthscale/src/version/tree_client.rs
@@ -7,7 +7,7 @@
 use amaranthscale_core::version::{
     EditRecord, Envelope, SettingsTree, TREE_HEAD_KEY, TREE_SNAPSHOT_KEY, TreeHead,
 };
-use amaranthscale_core::wire::{self, Row, TreeReply, TreeSince};
+use amaranthscale_core::wire::{self, Row, TreeReply, TreeRequest};
 use quick_error::quick_error;
 
 use crate::connection::{PeerClient, read_arriving_body};
@@ -74,7 +74,7 @@
     from: &HostId,
     version: TreeVersion,
 ) -> Result<TreeReply, ReadTreeError> {
-    let since = TreeSince {
+    let since = TreeRequest {
         from: from.clone(),
         version,
     };
--- a/crates/amaranthscale/src/version/tree_keeper.rs
+++ b/crates/amaranthscale/src/version/tree_keeper.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use amaranthscale_core::id::{HostId, TreeVersion};
-use amaranthscale_core::version::{EditRecord, Taken, TreeLog};
+use amaranthscale_core::version::{EditRecord, TreeLog, TreeUpdate};
 use amaranthscale_core::wire::TreeReply;
 use log::{debug, info, warn};
 use ractor::{Actor, ActorProcessingErr, ActorRef, RpcReplyPort};
@@ -317,13 +317,13 @@
 
     /// Takes a reply in; false if it cannot be used.
     fn take(&mut self, reply: TreeReply) -> bool {
-        match self.log.take(reply) {
-            Ok(Taken::Newer { from, to }) => {
+        match self.log.apply_reply(reply) {
+            Ok(TreeUpdate::Updated { from, to }) => {
                 info!("tree: version {to} is in force, after {from}");
                 self.arguments.counters.count("tree.taken");
                 self.publish();
             }
-            Ok(Taken::Nothing) => {}
+            Ok(TreeUpdate::Unchanged) => {}
             Err(error) => {
                 warn!("tree: a reply was not taken: {error}");
                 self.arguments.counters.count("tree.not_taken");
@@ -345,7 +345,7 @@
     }
 
     fn accepted(&mut self, record: EditRecord) {
-        match self.log.take_record(record) {
+        match self.log.apply_record(record) {
             Ok(_) => self.publish(),
             // The poll reads the same edit again.
             Err(error) => warn!("tree: the own edit was not taken: {error}"),
--- a/crates/amaranthscale/src/version/tree_keeper_handle.rs
+++ b/crates/amaranthscale/src/version/tree_keeper_handle.rs
@@ -114,7 +114,7 @@
     /// Answers a peer that has a version.
     #[must_use]
     pub fn since(&self, version: TreeVersion) -> TreeReply {
-        self.log.borrow().since(version)
+        self.log.borrow().changes_since(version)
     }
 
     /// State of the tree in this process.
--- a/crates/amaranthscale/tests/ctl_commands.rs
+++ b/crates/amaranthscale/tests/ctl_commands.rs
@@ -62,7 +62,7 @@
             by: by.to_owned(),
             write_id: format!("write-{version}").parse().unwrap(),
         };
-        self.log.take_record(record).unwrap();
+        self.log.apply_record(record).unwrap();
         EditAccepted { version }
     }
 
--- a/crates/amaranthscale/tests/entry_decisions.rs
+++ b/crates/amaranthscale/tests/entry_decisions.rs
@@ -10,7 +10,7 @@
 };
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::id::{Incarnation, TreeVersion};
-use amaranthscale_core::unit::{Budget, Class, RatePerSecond, SidecarClock};
+use amaranthscale_core::unit::{Class, RatePerSecond, SidecarClock, TimeBudget};
 use amaranthscale_core::wire::{HostList, HostRecord, HostState, LoadReport, Stamp};
 use ractor::Actor;
 use tokio::time::Instant;
@@ -136,7 +136,7 @@
         limit_per_second: RatePerSecond::new(1000.0),
         max_in_flight: 1,
         services: vec!["rerankers".parse().unwrap()],
-        budget: Budget::from_millis(9000),
+        budget: TimeBudget::from_millis(9000),
     };
 
     // Act: each admission is dropped as with its caller.
--- a/crates/amaranthscale/tests/sidecar_answers.rs
+++ b/crates/amaranthscale/tests/sidecar_answers.rs
@@ -12,7 +12,7 @@
 use amaranthscale::connection::{FrameError, FrameReader};
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::process::FairQueueLimits;
-use amaranthscale_core::unit::{Budget, ByteSize};
+use amaranthscale_core::unit::{ByteSize, TimeBudget};
 use amaranthscale_core::wire::{Dispatch, Frame, RevokeAnswer, Stamp};
 use sidecar_support::{
     Bench, FIRST_LINE, LAST_LINES, bench, bench_with, fetch, fetch_within, soon, whole,
@@ -81,7 +81,7 @@
     let dispatch = bench.claimed(1, "/held");
     let frames = start_held(&bench, &dispatch).await;
 
-    let budget = Budget::from_millis(20);
+    let budget = TimeBudget::from_millis(20);
     let fetched = fetch_within(&bench.entry, bench.address(), &dispatch, 0, budget).await;
     let fetched = whole(fetched, dispatch.attempt, 0).await;
     bench.backend.let_go();
@@ -98,7 +98,7 @@
 async fn claimed_call_is_never_cut_off() {
     let bench = bench().await;
     let mut dispatch = bench.claimed(1, "/held");
-    dispatch.budget = Budget::from_millis(200);
+    dispatch.budget = TimeBudget::from_millis(200);
     let frames = start_held(&bench, &dispatch).await;
     let deadline = bench.hello().await.clock.plus(Duration::from_millis(200));
     bench.clock_past(deadline).await;
@@ -158,7 +158,7 @@
 async fn unread_answer_is_dropped_in_its_time() {
     let bench = bench().await;
     let mut dispatch = bench.attempt(1, "/huge");
-    dispatch.budget = Budget::from_millis(500);
+    dispatch.budget = TimeBudget::from_millis(500);
     let mut frames = bench.open(&dispatch).await;
 
     until_forgotten(&bench, &dispatch).await;
--- a/crates/amaranthscale/tests/sidecar_attempts.rs
+++ b/crates/amaranthscale/tests/sidecar_attempts.rs
@@ -11,7 +11,7 @@
 
 use amaranthscale::connection::FrameReader;
 use amaranthscale_core::ResultCode;
-use amaranthscale_core::unit::{Budget, SidecarClock};
+use amaranthscale_core::unit::{SidecarClock, TimeBudget};
 use amaranthscale_core::wire::{Dispatch, RevokeAnswer};
 use sidecar_support::{Bench, bench, whole};
 
@@ -129,7 +129,7 @@
     let running = bench.attempt(1, "/held");
     let running_frames = start_held(&bench, &running).await;
     let mut waiting = bench.attempt(2, "/echo");
-    waiting.budget = Budget::from_millis(50);
+    waiting.budget = TimeBudget::from_millis(50);
 
     let refused = bench.run(&waiting).await;
     bench.backend.let_go();
--- a/crates/amaranthscale/tests/sidecar_claims.rs
+++ b/crates/amaranthscale/tests/sidecar_claims.rs
@@ -11,8 +11,8 @@
 
 use amaranthscale::connection::FrameReader;
 use amaranthscale_core::ResultCode;
-use amaranthscale_core::request::{ClaimReading, read_claim};
-use amaranthscale_core::unit::Budget;
+use amaranthscale_core::request::{ClaimStatus, read_claim};
+use amaranthscale_core::unit::TimeBudget;
 use amaranthscale_core::wire::{Dispatch, Row};
 use sidecar_support::{
     Bench, BreakingBackend, bench, bench_with, open, start_sidecar, ticket, whole,
@@ -21,12 +21,12 @@
 /// Long enough for the sidecar to drop what it need not keep.
 const SEVERAL_TICKS: Duration = Duration::from_millis(400);
 
-fn reading(row: &Row) -> ClaimReading {
+fn reading(row: &Row) -> ClaimStatus {
     read_claim(row, &ticket().fingerprint)
 }
 
 fn is_free(row: &Row) -> bool {
-    row.version.get() > 0 && matches!(reading(row), ClaimReading::Free { .. })
+    row.version.get() > 0 && matches!(reading(row), ClaimStatus::Free { .. })
 }
 
 /// Runs an attempt whose call is held, up to the call.
@@ -132,7 +132,7 @@
     bench.clock_past(swept).await;
     let fetched = whole(bench.fetch(&dispatch, 0).await, dispatch.attempt, 0).await;
     bench.table.set_down(false);
-    let is_finished = |row: &Row| matches!(reading(row), ClaimReading::Finished { .. });
+    let is_finished = |row: &Row| matches!(reading(row), ClaimStatus::Finished { .. });
     bench.table.row_when(&key, is_finished).await;
 
     assert_eq!(answer.code(), ResultCode::Complete);
@@ -185,7 +185,7 @@
     let key = ticket().key.to_string();
 
     let answer = bench.run(&bench.claimed(1, "/echo")).await;
-    let is_unknown = |row: &Row| reading(row) == ClaimReading::Unknown;
+    let is_unknown = |row: &Row| reading(row) == ClaimStatus::Unknown;
     bench.table.row_when(&key, is_unknown).await;
 
     assert_eq!(answer.code(), ResultCode::OutcomeUnknown);
@@ -216,7 +216,7 @@
 async fn deadline_cancels_repeatable_work() {
     let bench = bench().await;
     let mut dispatch = bench.attempt(1, "/held");
-    dispatch.budget = Budget::from_millis(50);
+    dispatch.budget = TimeBudget::from_millis(50);
 
     let ended = bench.run(&dispatch).await;
     let cancelled = bench.backend.cancelled().await;
--- a/crates/amaranthscale/tests/sidecar_flow.rs
+++ b/crates/amaranthscale/tests/sidecar_flow.rs
@@ -14,9 +14,9 @@
 use amaranthscale::sidecar::SidecarConfig;
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::process::{CostTotals, FairQueueLimits};
-use amaranthscale_core::request::{ClaimReading, StoredResult, read_claim};
+use amaranthscale_core::request::{ClaimStatus, StoredResult, read_claim};
 use amaranthscale_core::unit::Class;
-use amaranthscale_core::wire::{self, Frame, TreeReply, TreeSince};
+use amaranthscale_core::wire::{self, Frame, TreeReply, TreeRequest};
 use bytes::Bytes;
 use http_body_util::Empty;
 use hyper::StatusCode;
@@ -107,7 +107,7 @@
     assert_eq!(answer.code(), ResultCode::QueueFull);
     assert_eq!(answer.end.outcome.retry_after_ms, Some(2000));
     let reading = read_claim(&row, &ticket().fingerprint);
-    assert!(matches!(reading, ClaimReading::Free { .. }), "{reading:?}");
+    assert!(matches!(reading, ClaimStatus::Free { .. }), "{reading:?}");
 }
 
 #[tokio::test]
@@ -120,7 +120,7 @@
     let row = bench.table.row_when(&key, is_finished).await;
 
     assert_eq!(answer.code(), ResultCode::Complete);
-    let ClaimReading::Finished { outcome, result } = read_claim(&row, &ticket().fingerprint) else {
+    let ClaimStatus::Finished { outcome, result } = read_claim(&row, &ticket().fingerprint) else {
         panic!("the row does not show the outcome: {row:?}");
     };
     assert_eq!(outcome, answer.end.outcome);
@@ -138,7 +138,7 @@
         .row_when(&key, |row| row.version.get() == 2)
         .await;
 
-    let ClaimReading::Finished { result, .. } = read_claim(&row, &ticket().fingerprint) else {
+    let ClaimStatus::Finished { result, .. } = read_claim(&row, &ticket().fingerprint) else {
         panic!("the row does not show the outcome: {row:?}");
     };
     let StoredResult::Object(object) = result else {
@@ -259,7 +259,7 @@
 #[tokio::test]
 async fn answers_a_peer_that_asks_for_the_tree() {
     let bench = bench().await;
-    let ask = TreeSince {
+    let ask = TreeRequest {
         from: "entry-1".parse().unwrap(),
         version: bench.stamp.tree_version,
     };
--- a/crates/amaranthscale/tests/sidecar_stopping.rs
+++ b/crates/amaranthscale/tests/sidecar_stopping.rs
@@ -12,7 +12,7 @@
 
 use amaranthscale::connection::{FrameReader, PeerClient};
 use amaranthscale_core::ResultCode;
-use amaranthscale_core::request::{ClaimReading, read_claim};
+use amaranthscale_core::request::{ClaimStatus, read_claim};
 use amaranthscale_core::wire::{Dispatch, Row};
 use hyper::StatusCode;
 use sidecar_support::{
@@ -26,7 +26,7 @@
 /// New connections that a stop which does not wait would no longer take.
 const CONNECTIONS_DURING_STOP: usize = 30;
 
-fn reading(row: &Row) -> ClaimReading {
+fn reading(row: &Row) -> ClaimStatus {
     read_claim(row, &ticket().fingerprint)
 }
 
@@ -179,7 +179,7 @@
     assert!(is_clean);
     let row = table.row(&key);
     assert!(
-        matches!(reading(&row), ClaimReading::Finished { .. }),
+        matches!(reading(&row), ClaimStatus::Finished { .. }),
         "{row:?}"
     );
 }
--- a/crates/amaranthscale/tests/support/fixture.rs
+++ b/crates/amaranthscale/tests/support/fixture.rs
@@ -11,10 +11,10 @@
     AttemptId, AttemptNumber, Incarnation, RequestId, RowVersion, StageIndex, TreeVersion,
 };
 use amaranthscale_core::process::FairQueueLimits;
-use amaranthscale_core::unit::{Budget, Class, SidecarClock, Weight};
+use amaranthscale_core::unit::{Class, SidecarClock, TimeBudget, Weight};
 use amaranthscale_core::wire::{
-    self, ClaimKey, ClaimTicket, Digest, Dispatch, End, Fetch, Fingerprint, Frame, Hello, Revoke,
-    RevokeAnswer, RevokeReply, Stamp,
+    self, CallFingerprint, ClaimKey, ClaimTicket, Dispatch, End, Fetch, Frame, Hello, ResultDigest,
+    Revoke, RevokeAnswer, RevokeReply, Stamp,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -110,7 +110,7 @@
             stage: StageIndex::new(0),
         },
         version: RowVersion::default(),
-        fingerprint: Fingerprint::of("/echo", "truck 17"),
+        fingerprint: CallFingerprint::of("/echo", "truck 17"),
     }
 }
 
@@ -148,7 +148,7 @@
             },
             incarnation: self.stamp.incarnation,
             expiry: self.stamp.clock.plus(PATIENCE),
-            budget: Budget::new(PATIENCE),
+            budget: TimeBudget::new(PATIENCE),
             organisation: "delta-basin".parse().unwrap(),
             class: Class::Paid,
             weight: Weight::DEFAULT,
@@ -239,7 +239,14 @@
     dispatch: &Dispatch,
     from_chunk: u64,
 ) -> FrameReader {
-    fetch_within(entry, address, dispatch, from_chunk, Budget::new(PATIENCE)).await
+    fetch_within(
+        entry,
+        address,
+        dispatch,
+        from_chunk,
+        TimeBudget::new(PATIENCE),
+    )
+    .await
 }
 
 /// Fetches an answer for as long as a budget lasts.
@@ -248,7 +255,7 @@
     address: SocketAddr,
     dispatch: &Dispatch,
     from_chunk: u64,
-    budget: Budget,
+    budget: TimeBudget,
 ) -> FrameReader {
     let fetch = Fetch {
         attempt: dispatch.attempt,
@@ -283,7 +290,7 @@
                 assert_eq!(end.attempt, attempt);
                 if end.outcome.code == ResultCode::Complete && from_chunk == 0 {
                     assert_eq!(end.chunks, next);
-                    assert_eq!(end.outcome.digest, Digest::of(&result));
+                    assert_eq!(end.outcome.digest, ResultDigest::of(&result));
                     assert_eq!(end.outcome.length_bytes, result.len() as u64);
                 }
                 return Whole { result, end };
--- a/crates/core/examples/batcher_load.rs
+++ b/crates/core/examples/batcher_load.rs
@@ -59,8 +59,8 @@
         max_pieces: MAX_PIECES,
         call_time: Duration::from_millis(240),
         piece_time: Duration::from_millis(5),
-        room_bytes: 22_000_000,
-        kept_for: Duration::from_secs(4),
+        result_capacity_bytes: 22_000_000,
+        result_retention: Duration::from_secs(4),
     }
 }
 
@@ -77,7 +77,7 @@
 }
 
 fn servers(per_second: u32, load: Load) -> Vec<ServerRecord> {
-    let batch_s = spec().time_of(MAX_PIECES).as_secs_f64();
+    let batch_s = spec().call_time_for(MAX_PIECES).as_secs_f64();
     let of_service = |(service, pieces): (&&str, usize)| {
         let piece_s = batch_s / f64::from(u32::try_from(MAX_PIECES).unwrap());
         let busy = f64::from(per_second) * f64::from(u32::try_from(pieces).unwrap()) * piece_s;
@@ -184,7 +184,10 @@
         }
         for batch in batcher.next_batches(now) {
             calls += 1;
-            ends.insert((now + spec().time_of(batch.items.len()), calls), batch);
+            ends.insert(
+                (now + spec().call_time_for(batch.items.len()), calls),
+                batch,
+            );
         }
         for event in batcher.take_events() {
             let job = match event {
--- a/crates/core/examples/cold_load.rs
+++ b/crates/core/examples/cold_load.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use amaranthscale_core::id::ServerLife;
+use amaranthscale_core::id::ServerIncarnation;
 use amaranthscale_core::process::{RecentSends, SendShare};
 
 /// Servers of the service.
@@ -88,11 +88,11 @@
         .map(|index| format!("10.{}.{}.1:7740", index / 250, index % 250).parse())
         .collect();
     let addresses = addresses?;
-    let lives: Result<Vec<ServerLife>, _> = (0..SERVERS)
+    let lives: Result<Vec<ServerIncarnation>, _> = (0..SERVERS)
         .map(|index| format!("server-{index}").parse())
         .collect();
     let lives = lives?;
-    let share = |own: &SocketAddr, life: &ServerLife| match way {
+    let share = |own: &SocketAddr, life: &ServerIncarnation| match way {
         Way::Each => SendShare::of_owner(MOST_PER_S * USED_PART / as_f64(entries) / OWNER_PART),
         Way::Few => SendShare::of_entry(life, MOST_PER_S, SERVERS, *own, &addresses),
     };
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -6,7 +6,7 @@
 mod request_fingerprint;
 mod request_id;
 mod result_handle;
-mod server_life;
+mod server_incarnation;
 
 #[doc(inline)]
 pub use attempt_id::AttemptId;
@@ -27,4 +27,4 @@
 #[doc(inline)]
 pub use result_handle::{InvalidResultHandle, ResultHandle};
 #[doc(inline)]
-pub use server_life::ServerLife;
+pub use server_incarnation::ServerIncarnation;
--- a/crates/core/src/id/name_id.rs
+++ b/crates/core/src/id/name_id.rs
@@ -131,7 +131,7 @@
     /// Marks one conditional write, so that reading a row tells whose write it shows.
     WriteId, "write id");
 name_id!(
-    /// A backend server; a restart may keep it, so [`super::ServerLife`] names one life.
+    /// A backend server; a restart may keep it, so [`super::ServerIncarnation`] names one life.
     ServerId, "backend server");
 name_id!(
     /// A route from a host name and path to a service.
--- a/crates/core/src/id/server_life.rs
+++ b/crates/core/src/id/server_incarnation.rs
@@ -28,12 +28,12 @@
 #[derive(
     Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, SerializeDisplay, DeserializeFromStr,
 )]
-pub struct ServerLife {
+pub struct ServerIncarnation {
     id: ServerId,
     started: Option<StartMs>,
 }
 
-impl ServerLife {
+impl ServerIncarnation {
     /// A life whose start the platform does not tell: its id alone names it.
     #[must_use]
     pub const fn new(id: ServerId) -> Self {
@@ -66,7 +66,7 @@
     }
 }
 
-impl fmt::Display for ServerLife {
+impl fmt::Display for ServerIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.id.fmt(f)?;
         match self.started {
@@ -76,7 +76,7 @@
     }
 }
 
-impl FromStr for ServerLife {
+impl FromStr for ServerIncarnation {
     type Err = InvalidName;
 
     /// Reads `ID` or `ID@START`.
--- a/crates/core/src/process/admission.rs
+++ b/crates/core/src/process/admission.rs
@@ -12,7 +12,7 @@
 
 use super::{AdmissionSettings, Refusal, StageEstimate};
 use crate::ResultCode;
-use crate::unit::{Budget, Class};
+use crate::unit::{Class, TimeBudget};
 
 /// Decisions over which the refused share is smoothed: long enough to tell a wave from a few.
 const SMOOTHING_DECISIONS: f64 = 64.0;
@@ -67,14 +67,14 @@
     /// Admits a request, or refuses it at once.
     pub fn decide(
         &mut self,
-        budget: Budget,
+        budget: TimeBudget,
         remaining: &[StageEstimate],
         class: Class,
         _now: Duration,
     ) -> Result<(), Refusal> {
         let total_ms: u64 = remaining.iter().map(|stage| stage.total_ms()).sum();
         let needed_ms = total_ms * self.margin_percent(class) / PERCENT;
-        let is_refused = Budget::from_millis(needed_ms) > budget || budget.is_spent();
+        let is_refused = TimeBudget::from_millis(needed_ms) > budget || budget.is_exhausted();
         self.note(is_refused);
         if is_refused {
             Err(self.refusal(remaining))
@@ -88,7 +88,7 @@
     /// A sidecar that sees the whole budget would start work whose answer comes too late for the
     /// stages after it; its expiry therefore leaves them their time at the backend servers.
     #[must_use]
-    pub fn stage_budget(budget: Budget, later: &[StageEstimate]) -> Budget {
+    pub fn stage_budget(budget: TimeBudget, later: &[StageEstimate]) -> TimeBudget {
         let later_ms = later.iter().map(|stage| stage.service_ms).sum();
         budget.after(Duration::from_millis(later_ms))
     }
--- a/crates/core/src/process/backend_choice.rs
+++ b/crates/core/src/process/backend_choice.rs
@@ -17,7 +17,7 @@
 use super::seen_load::{SeenLoad, SeenNumber};
 use super::server_list::ServerRecord;
 use super::server_use::UsableServers;
-use crate::id::{InstanceId, ServerLife, ZoneId};
+use crate::id::{InstanceId, ServerIncarnation, ZoneId};
 
 /// Failures in a row after which a server is left out.
 const FAILURES_OUT: u32 = 2;
@@ -133,7 +133,7 @@
 /// What this entry knows of each backend server by its own sends.
 #[derive(Debug, Clone, Default)]
 pub struct BackendChoice {
-    tracks: BTreeMap<ServerLife, Track>,
+    tracks: BTreeMap<ServerIncarnation, Track>,
 }
 
 impl BackendChoice {
@@ -143,7 +143,7 @@
     pub fn plain<'a>(
         &self,
         servers: UsableServers<'a>,
-        tried: &BTreeSet<ServerLife>,
+        tried: &BTreeSet<ServerIncarnation>,
         entry: SendingEntry<'_>,
         now: Duration,
     ) -> Option<&'a ServerRecord> {
@@ -214,7 +214,7 @@
     pub fn engine<'a>(
         &self,
         servers: UsableServers<'a>,
-        tried: &BTreeSet<ServerLife>,
+        tried: &BTreeSet<ServerIncarnation>,
         shared_part: &str,
         now: Duration,
     ) -> Option<&'a ServerRecord> {
@@ -253,14 +253,14 @@
     }
 
     /// Counts a send.
-    pub fn sent(&mut self, server: &ServerLife) {
+    pub fn sent(&mut self, server: &ServerIncarnation) {
         self.tracks.entry(server.clone()).or_default().in_flight += 1;
     }
 
     /// Takes the end of a send; says whether the server is left out or taken back by it.
     pub fn ended(
         &mut self,
-        server: &ServerLife,
+        server: &ServerIncarnation,
         end: SendEnd,
         elapsed: Duration,
         now: Duration,
@@ -300,19 +300,19 @@
     }
 
     /// Takes the load that a server told.
-    pub fn told(&mut self, server: &ServerLife, load: ToldLoad, now: Duration) {
+    pub fn told(&mut self, server: &ServerIncarnation, load: ToldLoad, now: Duration) {
         self.tracks.entry(server.clone()).or_default().told = Some((load, now));
     }
 
     /// Requests of this entry at a server.
     #[must_use]
-    pub fn in_flight(&self, server: &ServerLife) -> usize {
+    pub fn in_flight(&self, server: &ServerIncarnation) -> usize {
         self.track(server).map_or(0, |track| track.in_flight)
     }
 
     /// What a choice sees of a server now.
     #[must_use]
-    pub fn seen(&self, server: &ServerLife, now: Duration) -> SeenLoad {
+    pub fn seen(&self, server: &ServerIncarnation, now: Duration) -> SeenLoad {
         let Some(track) = self.track(server) else {
             return SeenLoad::default();
         };
@@ -328,12 +328,12 @@
     }
 
     /// Forgets servers that are gone.
-    pub fn retain(&mut self, is_known: impl Fn(&ServerLife) -> bool) {
+    pub fn retain(&mut self, is_known: impl Fn(&ServerIncarnation) -> bool) {
         self.tracks
             .retain(|id, track| track.in_flight > 0 || is_known(id));
     }
 
-    fn track(&self, server: &ServerLife) -> Option<&Track> {
+    fn track(&self, server: &ServerIncarnation) -> Option<&Track> {
         self.tracks.get(server)
     }
 
@@ -341,7 +341,7 @@
     fn candidates<'a>(
         &self,
         servers: UsableServers<'a>,
-        tried: &BTreeSet<ServerLife>,
+        tried: &BTreeSet<ServerIncarnation>,
         has_place: impl Fn(&ServerRecord) -> bool,
         now: Duration,
     ) -> Vec<&'a ServerRecord> {
@@ -357,7 +357,7 @@
     fn in_use<'a>(
         &self,
         servers: impl Iterator<Item = &'a ServerRecord>,
-        tried: &BTreeSet<ServerLife>,
+        tried: &BTreeSet<ServerIncarnation>,
         now: Duration,
     ) -> Vec<&'a ServerRecord> {
         let untried: Vec<_> = servers
--- a/crates/core/src/process/batcher.rs
+++ b/crates/core/src/process/batcher.rs
@@ -33,7 +33,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::id::{ServerLife, ServiceId};
+use crate::id::{ServerIncarnation, ServiceId};
 use crate::process::server_list::ServerRecord;
 use crate::process::server_use::ServerUse;
 use crate::version::{BatchSpec, Routing};
@@ -62,7 +62,7 @@
     pools: BTreeMap<ServiceId, PoolState>,
     jobs: BTreeMap<JobId, Job>,
     batches: BTreeMap<BatchId, RunningBatch>,
-    frees: BTreeMap<ServerLife, Frees>,
+    frees: BTreeMap<ServerIncarnation, Frees>,
     events: Vec<JobEvent>,
     open_work: OpenWork,
     swept_at: Duration,
@@ -78,7 +78,7 @@
 #[derive(Debug)]
 struct RunningBatch {
     service: ServiceId,
-    server: ServerLife,
+    server: ServerIncarnation,
     address: SocketAddr,
     pieces: Vec<RunningPiece>,
     sent_at: Duration,
@@ -177,7 +177,7 @@
     /// Results that may be dropped, by server, for servers that a function names.
     ///
     /// Their room counts as taken until [`Self::freed`] says that the server has dropped them.
-    pub fn take_frees(&mut self, is_wanted: impl Fn(&ServerLife) -> bool) -> Vec<Frees> {
+    pub fn take_frees(&mut self, is_wanted: impl Fn(&ServerIncarnation) -> bool) -> Vec<Frees> {
         let (taken, kept) = std::mem::take(&mut self.frees)
             .into_iter()
             .partition::<BTreeMap<_, _>, _>(|(server, _)| is_wanted(server));
--- a/crates/core/src/process/batcher/ends.rs
+++ b/crates/core/src/process/batcher/ends.rs
@@ -121,7 +121,7 @@
         server.busy_until = now;
         match end {
             BatchEnd::Pieces(_) => {
-                let expected = spec.time_of(batch.pieces.len()).as_secs_f64();
+                let expected = spec.call_time_for(batch.pieces.len()).as_secs_f64();
                 let elapsed = now.saturating_sub(batch.sent_at).as_secs_f64();
                 server.answered(elapsed / expected.max(0.001), now);
             }
@@ -156,7 +156,7 @@
             return;
         };
         if let Some((spec, server)) = pool.spec.zip(pool.servers.get_mut(&batch.server)) {
-            let call = spec.time_of(spec.max_pieces / 2);
+            let call = spec.call_time_for(spec.max_pieces / 2);
             let ahead = call.saturating_mul(others).mul_f64(OTHERS_LEFT);
             server.busy_until = server.busy_until.max(now + ahead);
         }
@@ -165,7 +165,7 @@
     fn was_slow(&self, batch: &RunningBatch, now: Duration) -> bool {
         let spec = self.pools.get(&batch.service).and_then(|pool| pool.spec);
         spec.is_some_and(|spec| {
-            let expected = spec.time_of(batch.pieces.len());
+            let expected = spec.call_time_for(batch.pieces.len());
             now.saturating_sub(batch.sent_at) > expected.mul_f64(WAITED_FACTOR)
         })
     }
--- a/crates/core/src/process/batcher/estimate.rs
+++ b/crates/core/src/process/batcher/estimate.rs
@@ -140,7 +140,7 @@
                 return Err(no_server);
             }
             let usual_pieces = stage.pieces.max(spec.max_pieces / 2).min(spec.max_pieces);
-            Ok(spec.time_of(usual_pieces))
+            Ok(spec.call_time_for(usual_pieces))
         };
         order.stages.iter().map(time_of).collect()
     }
--- a/crates/core/src/process/batcher/fill.rs
+++ b/crates/core/src/process/batcher/fill.rs
@@ -9,7 +9,7 @@
 use super::pool_state::PoolState;
 use super::queue::Entry;
 use super::{Batch, BatchId, Batcher, JobFailure, PieceRef, RunningBatch, RunningPiece};
-use crate::id::{ServerLife, ServiceId, ZoneId};
+use crate::id::{ServerIncarnation, ServiceId, ZoneId};
 use crate::version::BatchSpec;
 
 /// Times the expected time of a call after which it is given up.
@@ -148,7 +148,7 @@
         &mut self,
         service: &ServiceId,
         spec: BatchSpec,
-        server: &ServerLife,
+        server: &ServerIncarnation,
         share: usize,
         now: Duration,
     ) -> Option<Batch> {
@@ -180,7 +180,7 @@
         pool.count_send(server, now);
         let state = pool.servers.get_mut(server)?;
         let expected = spec
-            .time_of(items.len())
+            .call_time_for(items.len())
             .mul_f64(state.slowness(now).max(1.0));
         state.calls += 1;
         state.busy_until = now + expected;
@@ -220,7 +220,7 @@
         &mut self,
         service: &ServiceId,
         spec: BatchSpec,
-        server: &ServerLife,
+        server: &ServerIncarnation,
         share: usize,
         now: Duration,
     ) -> Vec<PieceRef> {
--- a/crates/core/src/process/batcher/job.rs
+++ b/crates/core/src/process/batcher/job.rs
@@ -7,7 +7,7 @@
 use super::estimate::Outlook;
 use super::queue::Entry;
 use super::{BatchItem, PieceInput, PipelineOrder, StageOrder, StageTimes};
-use crate::id::{ResultHandle, ServerLife};
+use crate::id::{ResultHandle, ServerIncarnation};
 use crate::process::Rank;
 
 /// Size of a result from which it is made near its reader.
@@ -62,7 +62,7 @@
     /// Made and kept by a server.
     Made {
         handle: ResultHandle,
-        server: ServerLife,
+        server: ServerIncarnation,
         address: SocketAddr,
     },
     /// Made, and gone with the life of the server that kept it.
@@ -152,7 +152,7 @@
     pub(super) remakes: u32,
     pub(super) failures: u32,
     /// Servers at which calls with its pieces were cut off.
-    pub(super) cut_off_at: BTreeSet<ServerLife>,
+    pub(super) cut_off_at: BTreeSet<ServerIncarnation>,
 }
 
 impl Job {
@@ -380,7 +380,7 @@
     }
 
     /// The server that keeps most of a stage's inputs.
-    pub(super) fn input_server(&self, stage: usize) -> Option<&ServerLife> {
+    pub(super) fn input_server(&self, stage: usize) -> Option<&ServerIncarnation> {
         let after = &self.stages[stage].order.after;
         let pieces = after.iter().flat_map(|index| &self.stages[*index].pieces);
         let mut servers = pieces.filter_map(|piece| match piece {
--- a/crates/core/src/process/batcher/kept.rs
+++ b/crates/core/src/process/batcher/kept.rs
@@ -12,7 +12,7 @@
 
 use super::job::PieceState;
 use super::{Batcher, JobId, PipelineOrder, StageOrder};
-use crate::id::{ResultHandle, ServerLife};
+use crate::id::{ResultHandle, ServerIncarnation};
 
 /// Time that a kept result must have left: two calls, so that it is read before it lapses.
 const LEAST_LEFT: Duration = Duration::from_millis(600);
@@ -28,7 +28,7 @@
     /// Its name.
     pub handle: ResultHandle,
     /// The life of the server that keeps it.
-    pub server: ServerLife,
+    pub server: ServerIncarnation,
     /// Where that server listens.
     pub address: SocketAddr,
     /// Time since it was made.
@@ -54,7 +54,9 @@
         let Some(pool) = self.pools.get(&stage.service) else {
             return false;
         };
-        let kept_for = pool.spec.map_or(Duration::ZERO, |spec| spec.kept_for);
+        let kept_for = pool
+            .spec
+            .map_or(Duration::ZERO, |spec| spec.result_retention);
         pool.servers.contains_key(&piece.server) && piece.age + LEAST_LEFT <= kept_for
     }
 
--- a/crates/core/src/process/batcher/lives.rs
+++ b/crates/core/src/process/batcher/lives.rs
@@ -9,12 +9,12 @@
 
 use super::job::PieceState;
 use super::{BatchEnd, Batcher, JobId, PieceRef};
-use crate::id::{ServerId, ServerLife};
+use crate::id::{ServerId, ServerIncarnation};
 
 /// The life that is listed for each server.
-pub(super) type ListedLives = BTreeMap<ServerId, ServerLife>;
+pub(super) type ListedLives = BTreeMap<ServerId, ServerIncarnation>;
 
-fn has_ended(life: &ServerLife, listed: &ListedLives) -> bool {
+fn has_ended(life: &ServerIncarnation, listed: &ListedLives) -> bool {
     let now_listed = listed.get(life.id());
     now_listed.is_some_and(|other| other.replaces(life))
 }
--- a/crates/core/src/process/batcher/message.rs
+++ b/crates/core/src/process/batcher/message.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::KeptPiece;
-use crate::id::{CallId, ResultHandle, RouteId, ServerLife, ServiceId, ZoneId};
+use crate::id::{CallId, ResultHandle, RouteId, ServerIncarnation, ServiceId, ZoneId};
 use crate::process::{Cell, Rank};
 
 /// Names a job of the batcher.
@@ -131,7 +131,7 @@
     /// Service of the server.
     pub service: ServiceId,
     /// The server.
-    pub server: ServerLife,
+    pub server: ServerIncarnation,
     /// Where it listens.
     pub address: SocketAddr,
     /// Its availability zone.
@@ -182,7 +182,7 @@
     /// The job cannot be done.
     Failed(JobId, JobFailure),
     /// A call with some of its pieces was cut off at a server.
-    CutOff(JobId, ServerLife, SocketAddr),
+    CutOff(JobId, ServerIncarnation, SocketAddr),
     /// Some pieces are made; their age counts from now.
     Made(JobId, Vec<KeptPiece>),
     /// A stage's results are freed, or are to be made anew.
@@ -238,7 +238,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Frees {
     /// The server that keeps them.
-    pub server: ServerLife,
+    pub server: ServerIncarnation,
     /// Where it listens.
     pub address: SocketAddr,
     /// Service of the server.
--- a/crates/core/src/process/batcher/near.rs
+++ b/crates/core/src/process/batcher/near.rs
@@ -52,7 +52,7 @@
             return false;
         };
         let calls_ahead = ahead / (self.spec.max_pieces.max(1) * near.count);
-        let call = self.spec.time_of(self.spec.max_pieces);
+        let call = self.spec.call_time_for(self.spec.max_pieces);
         let queue = call.saturating_mul(u32::try_from(calls_ahead).unwrap_or(u32::MAX));
         let slack = latest_start.saturating_sub(self.now);
         near.first_free_at + queue <= self.now + slack.mul_f64(NEAR_SLACK_PART)
@@ -69,7 +69,7 @@
         if slowness < SLOW || is_late || self.zones.is_empty() {
             return false;
         }
-        let call = self.spec.time_of(self.spec.max_pieces / 2);
+        let call = self.spec.call_time_for(self.spec.max_pieces / 2);
         self.now + call.mul_f64(slowness - 1.0) > latest_start
     }
 }
--- a/crates/core/src/process/batcher/pool_state.rs
+++ b/crates/core/src/process/batcher/pool_state.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::queue::Queue;
-use crate::id::{ServerLife, ZoneId};
+use crate::id::{ServerIncarnation, ZoneId};
 use crate::process::count::as_f64;
 use crate::process::recent_sends::RecentSends;
 use crate::process::send_share::{SendBound, SendShare};
@@ -123,7 +123,7 @@
 #[derive(Debug, Default)]
 pub(super) struct PoolState {
     pub(super) spec: Option<BatchSpec>,
-    pub(super) servers: BTreeMap<ServerLife, StageServer>,
+    pub(super) servers: BTreeMap<ServerIncarnation, StageServer>,
     pub(super) queue: Queue,
     recent_sends: RecentSends,
     arriving: f64,
@@ -140,7 +140,7 @@
         let piece_time = spec.piece_time + spec.call_time / max_pieces;
         let work = piece_time.saturating_mul(u32::try_from(pieces).unwrap_or(u32::MAX));
         let servers = self.in_use(now);
-        let usual_call = spec.time_of(spec.max_pieces);
+        let usual_call = spec.call_time_for(spec.max_pieces);
         let speed_of = |server: &StageServer| {
             (1.0 / server.slowness(now)).min(server.part_by_limit(usual_call))
         };
@@ -206,7 +206,7 @@
     }
 
     /// Counts a call to a server, if its calls are bounded.
-    pub(super) fn count_send(&mut self, server: &ServerLife, now: Duration) {
+    pub(super) fn count_send(&mut self, server: &ServerIncarnation, now: Duration) {
         let state = self.servers.get(server);
         if let Some(share) = state.and_then(|server| server.send_share(now)) {
             // Asked for in `free` a moment ago.
@@ -215,11 +215,11 @@
     }
 
     /// Room of a server that nothing takes.
-    pub(super) fn free_bytes(&self, server: &ServerLife, now: Duration) -> u64 {
+    pub(super) fn free_bytes(&self, server: &ServerIncarnation, now: Duration) -> u64 {
         let Some((spec, server)) = self.spec.zip(self.servers.get(server)) else {
             return 0;
         };
-        let taken_bytes = server.used_bytes + server.others_bytes(spec.kept_for, now);
+        let taken_bytes = server.used_bytes + server.others_bytes(spec.result_retention, now);
         usable_bytes(spec).saturating_sub(taken_bytes)
     }
 
@@ -228,20 +228,20 @@
     /// Guards against a call that was given up, whose server goes on with it, and against results
     /// that nobody frees, as after an owner's death: sent as if that room were free, the next calls
     /// would find none. Such results lapse, so their room comes back by and by.
-    pub(super) fn note_unknown(&mut self, server: &ServerLife, bytes: u64, now: Duration) {
+    pub(super) fn note_unknown(&mut self, server: &ServerIncarnation, bytes: u64, now: Duration) {
         if let Some((spec, server)) = self.spec.zip(self.servers.get_mut(server)) {
-            server.others_bytes = server.others_bytes(spec.kept_for, now) + bytes;
+            server.others_bytes = server.others_bytes(spec.result_retention, now) + bytes;
             server.others_at = now;
         }
     }
 
-    pub(super) fn reserve(&mut self, server: &ServerLife, bytes: u64) {
+    pub(super) fn reserve(&mut self, server: &ServerIncarnation, bytes: u64) {
         if let Some(server) = self.servers.get_mut(server) {
             server.used_bytes += bytes;
         }
     }
 
-    pub(super) fn give_back(&mut self, server: &ServerLife, bytes: u64) {
+    pub(super) fn give_back(&mut self, server: &ServerIncarnation, bytes: u64) {
         if let Some(server) = self.servers.get_mut(server) {
             server.used_bytes = server.used_bytes.saturating_sub(bytes);
         }
@@ -253,10 +253,13 @@
     }
 
     /// Servers that can take a call now.
-    pub(super) fn free(&self, now: Duration) -> impl Iterator<Item = (&ServerLife, &StageServer)> {
+    pub(super) fn free(
+        &self,
+        now: Duration,
+    ) -> impl Iterator<Item = (&ServerIncarnation, &StageServer)> {
         let slots = self.spec.map_or(0, |spec| spec.slots.max(1));
         let is_free = move |server: &StageServer| server.calls < slots && server.busy_until <= now;
-        let has_share = move |life: &ServerLife, server: &StageServer| {
+        let has_share = move |life: &ServerIncarnation, server: &StageServer| {
             let share = server.send_share(now);
             share.is_none_or(|share| self.recent_sends.may_send(life, share, now))
         };
@@ -268,12 +271,12 @@
     pub(super) fn in_use(
         &self,
         now: Duration,
-    ) -> impl Iterator<Item = (&ServerLife, &StageServer)> {
+    ) -> impl Iterator<Item = (&ServerIncarnation, &StageServer)> {
         let servers = self.servers.iter();
         servers.filter(move |(_, server)| server.out_until <= now && server.server_use.is_usable())
     }
 }
 
 const fn usable_bytes(spec: BatchSpec) -> u64 {
-    spec.room_bytes / 100 * USED_ROOM_PERCENT
+    spec.result_capacity_bytes / 100 * USED_ROOM_PERCENT
 }
--- a/crates/core/src/process/limit_words.rs
+++ b/crates/core/src/process/limit_words.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use super::server_limit::ServerLimit;
-use crate::id::ServerLife;
+use crate::id::ServerIncarnation;
 
 /// The newest words of servers.
 ///
@@ -29,7 +29,7 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct LimitWords {
-    by_server: BTreeMap<ServerLife, Word>,
+    by_server: BTreeMap<ServerIncarnation, Word>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -51,13 +51,13 @@
 
     /// The limit that a server has named, if it has not ended.
     #[must_use]
-    pub fn limit(&self, server: &ServerLife) -> Option<ServerLimit> {
+    pub fn limit(&self, server: &ServerIncarnation) -> Option<ServerLimit> {
         self.by_server.get(server)?.limit
     }
 
     /// Servers with a limit.
     #[must_use]
-    pub fn limits(&self) -> Vec<(ServerLife, ServerLimit)> {
+    pub fn limits(&self) -> Vec<(ServerIncarnation, ServerLimit)> {
         let limits = self.by_server.iter();
         let limits = limits.filter_map(|(server, word)| Some((server.clone(), word.limit?)));
         limits.collect()
@@ -69,7 +69,7 @@
     /// word, and does not end it.
     pub fn heard(
         &mut self,
-        server: &ServerLife,
+        server: &ServerIncarnation,
         limit: Option<ServerLimit>,
         sent_at: Duration,
         now: Duration,
@@ -98,7 +98,12 @@
     }
 
     /// Takes what another entry told through the store; says whether the limit changed.
-    pub fn told(&mut self, server: &ServerLife, limit: Option<ServerLimit>, now: Duration) -> bool {
+    pub fn told(
+        &mut self,
+        server: &ServerIncarnation,
+        limit: Option<ServerLimit>,
+        now: Duration,
+    ) -> bool {
         let known = self.by_server.entry(server.clone()).or_insert(Word {
             limit: None,
             stored: None,
@@ -118,7 +123,7 @@
     }
 
     /// Takes which servers a whole table names; says whose limit ended by that.
-    pub fn keep_only(&mut self, named: &[ServerLife]) -> Vec<ServerLife> {
+    pub fn keep_only(&mut self, named: &[ServerIncarnation]) -> Vec<ServerIncarnation> {
         let mut ended = Vec::new();
         for (server, word) in &mut self.by_server {
             if named.contains(server) {
@@ -135,7 +140,7 @@
 
     /// Words of servers that this entry heard and the store does not say.
     #[must_use]
-    pub fn untold(&self) -> Vec<(ServerLife, Option<ServerLimit>)> {
+    pub fn untold(&self) -> Vec<(ServerIncarnation, Option<ServerLimit>)> {
         let untold = self.by_server.iter().filter(|(_, word)| word.is_untold());
         untold
             .map(|(server, word)| (server.clone(), word.limit))
@@ -143,7 +148,7 @@
     }
 
     /// Notes that the store has taken a word.
-    pub fn stored(&mut self, server: &ServerLife, limit: Option<ServerLimit>) {
+    pub fn stored(&mut self, server: &ServerIncarnation, limit: Option<ServerLimit>) {
         if let Some(word) = self.by_server.get_mut(server) {
             word.stored = limit;
         }
@@ -151,7 +156,10 @@
     }
 
     /// Forgets servers that are gone; names those of which the store still says something.
-    pub fn forget_gone(&mut self, is_listed: impl Fn(&ServerLife) -> bool) -> Vec<ServerLife> {
+    pub fn forget_gone(
+        &mut self,
+        is_listed: impl Fn(&ServerIncarnation) -> bool,
+    ) -> Vec<ServerIncarnation> {
         let gone = self.by_server.iter();
         let gone = gone.filter(|(server, word)| word.stored.is_some() && !is_listed(server));
         let gone = gone.map(|(server, _)| server.clone()).collect();
@@ -159,7 +167,7 @@
         gone
     }
 
-    fn forget_ended(&mut self, server: &ServerLife) {
+    fn forget_ended(&mut self, server: &ServerIncarnation) {
         if self.by_server.get(server).is_some_and(Word::has_ended) {
             self.by_server.remove(server);
         }
--- a/crates/core/src/process/quarantine.rs
+++ b/crates/core/src/process/quarantine.rs
@@ -27,7 +27,7 @@
 #[doc(inline)]
 pub use lost_runs::{LossStep, LostRuns};
 
-use crate::id::{EvidenceId, RequestFingerprint, ServerLife};
+use crate::id::{EvidenceId, RequestFingerprint, ServerIncarnation};
 use suspicions::Suspicions;
 
 /// Crashes from which on a request is sent to one server at a time, and its completed runs are told to
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum QuarantineChange {
     /// A request is held back from now on.
-    Held(RequestFingerprint, Vec<ServerLife>),
+    Held(RequestFingerprint, Vec<ServerIncarnation>),
     /// A request is held back no more.
     Released(RequestFingerprint),
 }
@@ -207,7 +207,7 @@
     }
 
     /// Requests that are held back, each with the servers that crashed under it.
-    pub fn held(&self) -> impl Iterator<Item = (RequestFingerprint, &BTreeSet<ServerLife>)> {
+    pub fn held(&self) -> impl Iterator<Item = (RequestFingerprint, &BTreeSet<ServerIncarnation>)> {
         let held = self.blamed.keys();
         held.filter_map(|request| Some((*request, self.suspicions.servers.get(request)?)))
     }
--- a/crates/core/src/process/quarantine/crash_evidence.rs
+++ b/crates/core/src/process/quarantine/crash_evidence.rs
@@ -2,13 +2,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::id::{RequestFingerprint, ServerLife};
+use crate::id::{RequestFingerprint, ServerIncarnation};
 
 /// A server that crashed, and the requests that were lost with it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// The life of the server that ended.
-    pub server: ServerLife,
+    pub server: ServerIncarnation,
     /// Requests of the entry that it was running.
     pub suspects: Vec<RequestFingerprint>,
 }
@@ -34,7 +34,7 @@
     }
 
     /// Adds a request that was lost with a server.
-    pub fn add_crash(&mut self, server: &ServerLife, suspect: RequestFingerprint) {
+    pub fn add_crash(&mut self, server: &ServerIncarnation, suspect: RequestFingerprint) {
         let known = self.crashes.iter_mut().find(|one| one.server == *server);
         if let Some(report) = known {
             if !report.suspects.contains(&suspect) {
@@ -49,7 +49,7 @@
     }
 
     /// Requests that it blames, each with a server.
-    pub fn blames(&self) -> impl Iterator<Item = (RequestFingerprint, &ServerLife)> {
+    pub fn blames(&self) -> impl Iterator<Item = (RequestFingerprint, &ServerIncarnation)> {
         self.crashes.iter().flat_map(|report| {
             let suspects = report.suspects.iter();
             suspects.map(|suspect| (*suspect, &report.server))
--- a/crates/core/src/process/quarantine/lost_runs.rs
+++ b/crates/core/src/process/quarantine/lost_runs.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::id::{RequestFingerprint, ServerLife};
+use crate::id::{RequestFingerprint, ServerIncarnation};
 
 /// How long a lost run is remembered: a server that crashed leaves the list of servers within some
 /// heartbeats.
@@ -36,14 +36,14 @@
 /// Lost runs by server.
 #[derive(Debug, Clone, Default)]
 pub struct LostRuns {
-    by_server: BTreeMap<ServerLife, LostAt>,
+    by_server: BTreeMap<ServerIncarnation, LostAt>,
 }
 
 impl LostRuns {
     /// Notes a run that ended without its whole answer because the connection ended.
     pub fn lost(
         &mut self,
-        server: &ServerLife,
+        server: &ServerIncarnation,
         request: RequestFingerprint,
         now: Duration,
     ) -> LossStep {
@@ -67,7 +67,7 @@
     /// Takes note that a server could not be found crashed: the next run that it loses is looked at anew.
     ///
     /// Guards against a crash that nobody looks for, as the server had lost another run and lived on.
-    pub fn not_crashed(&mut self, server: &ServerLife) {
+    pub fn not_crashed(&mut self, server: &ServerIncarnation) {
         if let Some(lost) = self.by_server.get_mut(server) {
             lost.is_probed = false;
             if lost.unsettled.len() < MOST_OF_SERVER {
@@ -77,7 +77,7 @@
     }
 
     /// Takes a server's crash for known; the requests whose runs were lost with it.
-    pub fn crashed(&mut self, server: &ServerLife) -> BTreeSet<RequestFingerprint> {
+    pub fn crashed(&mut self, server: &ServerIncarnation) -> BTreeSet<RequestFingerprint> {
         let Some(lost) = self.by_server.get_mut(server) else {
             return BTreeSet::new();
         };
@@ -87,7 +87,7 @@
     }
 
     /// Takes a server for crashed that is listed no more; all requests whose runs it lost lately.
-    pub fn gone(&mut self, server: &ServerLife) -> BTreeSet<RequestFingerprint> {
+    pub fn gone(&mut self, server: &ServerIncarnation) -> BTreeSet<RequestFingerprint> {
         let unsettled = self.by_server.get_mut(server);
         let mut requests =
             unsettled.map_or_else(BTreeSet::new, |lost| std::mem::take(&mut lost.unsettled));
@@ -97,7 +97,10 @@
 
     /// Servers that lost runs and that a function names no more, as the list of servers has changed.
     #[must_use]
-    pub fn missing(&self, is_listed: impl Fn(&ServerLife) -> bool) -> Vec<ServerLife> {
+    pub fn missing(
+        &self,
+        is_listed: impl Fn(&ServerIncarnation) -> bool,
+    ) -> Vec<ServerIncarnation> {
         let open = self.by_server.iter();
         let open = open.filter(|(_, lost)| !lost.has_crashed);
         let missing = open.filter(|(server, _)| !is_listed(server));
--- a/crates/core/src/process/quarantine/suspicions.rs
+++ b/crates/core/src/process/quarantine/suspicions.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::CrashEvidence;
-use crate::id::{RequestFingerprint, ServerLife};
+use crate::id::{RequestFingerprint, ServerIncarnation};
 
 /// Servers that a request may crash before it is to blame.
 const MOST_CRASHED: usize = 3;
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Suspicions {
     /// By request.
-    pub(super) servers: BTreeMap<RequestFingerprint, BTreeSet<ServerLife>>,
+    pub(super) servers: BTreeMap<RequestFingerprint, BTreeSet<ServerIncarnation>>,
     /// How often suspected requests ran to their end.
     survivals: BTreeMap<RequestFingerprint, usize>,
     /// Requests with as many crashes as one to blame has.
@@ -66,7 +66,7 @@
             by_crashes.entry(crashes).or_default().push(*request);
         }
         let mut guilty = BTreeSet::new();
-        let mut explained: BTreeSet<&ServerLife> = BTreeSet::new();
+        let mut explained: BTreeSet<&ServerIncarnation> = BTreeSet::new();
         for (crashes, requests) in by_crashes.into_iter().rev() {
             let is_guilty = |request: &RequestFingerprint| {
                 let servers = self.servers[request].iter();
--- a/crates/core/src/process/recent_sends.rs
+++ b/crates/core/src/process/recent_sends.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::send_share::{SendShare, WINDOW};
-use crate::id::ServerLife;
+use crate::id::ServerIncarnation;
 
 /// Sends of one process to such servers in the last spans.
 ///
@@ -26,7 +26,7 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct RecentSends {
-    by_server: BTreeMap<ServerLife, Recent>,
+    by_server: BTreeMap<ServerIncarnation, Recent>,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -39,13 +39,13 @@
 impl RecentSends {
     /// Whether one more request may be given a server, as far as choices of the last span go.
     #[must_use]
-    pub fn has_place(&self, server: &ServerLife, share: SendShare, now: Duration) -> bool {
+    pub fn has_place(&self, server: &ServerIncarnation, share: SendShare, now: Duration) -> bool {
         let recent = self.by_server.get(server);
         recent.map_or(0, |recent| within(&recent.chosen_at, share, now)) < share.sends
     }
 
     /// Counts a choice of a server.
-    pub fn chosen(&mut self, server: &ServerLife, share: SendShare, now: Duration) {
+    pub fn chosen(&mut self, server: &ServerIncarnation, share: SendShare, now: Duration) {
         let recent = self.by_server.entry(server.clone()).or_default();
         forget(&mut recent.chosen_at, share.span, now);
         recent.chosen_at.push_back(now);
@@ -55,7 +55,12 @@
     ///
     /// Guards against requests that were chosen at different times and leave together, as when
     /// pieces of many come at once or a frozen process wakes: choices alone would keep no bound.
-    pub fn try_send(&mut self, server: &ServerLife, share: SendShare, now: Duration) -> bool {
+    pub fn try_send(
+        &mut self,
+        server: &ServerIncarnation,
+        share: SendShare,
+        now: Duration,
+    ) -> bool {
         let recent = self.by_server.entry(server.clone()).or_default();
         forget(&mut recent.sent_at, share.span, now);
         if recent.sent_at.len() >= share.sends {
@@ -69,7 +74,7 @@
     ///
     /// Guards against a server that becomes cold at once: what it was sent in the second before its
     /// word came counts for it as well.
-    pub fn sent(&mut self, server: &ServerLife, now: Duration) {
+    pub fn sent(&mut self, server: &ServerIncarnation, now: Duration) {
         let recent = self.by_server.entry(server.clone()).or_default();
         forget(&mut recent.sent_at, WINDOW, now);
         recent.sent_at.push_back(now);
@@ -77,7 +82,7 @@
 
     /// Whether one more send may leave now.
     #[must_use]
-    pub fn may_send(&self, server: &ServerLife, share: SendShare, now: Duration) -> bool {
+    pub fn may_send(&self, server: &ServerIncarnation, share: SendShare, now: Duration) -> bool {
         let recent = self.by_server.get(server);
         recent.map_or(0, |recent| within(&recent.sent_at, share, now)) < share.sends
     }
@@ -86,7 +91,7 @@
     #[must_use]
     pub fn next_place(
         &self,
-        server: &ServerLife,
+        server: &ServerIncarnation,
         share: SendShare,
         now: Duration,
     ) -> Option<Duration> {
@@ -105,7 +110,7 @@
     }
 
     /// Forgets servers whose sends are bounded no longer.
-    pub fn retain(&mut self, is_bounded: impl Fn(&ServerLife) -> bool) {
+    pub fn retain(&mut self, is_bounded: impl Fn(&ServerIncarnation) -> bool) {
         self.by_server.retain(|server, _| is_bounded(server));
     }
 }
--- a/crates/core/src/process/send_share.rs
+++ b/crates/core/src/process/send_share.rs
@@ -15,7 +15,7 @@
 
 use super::count::as_f64;
 use super::rendezvous;
-use crate::id::ServerLife;
+use crate::id::ServerIncarnation;
 
 /// Span over which a cold server's requests are counted.
 /// Source: the platform counts them in any second.
@@ -62,7 +62,7 @@
     #[must_use]
     pub fn share_of_entry(
         self,
-        server: &ServerLife,
+        server: &ServerIncarnation,
         servers: usize,
         own: SocketAddr,
         entries: &[SocketAddr],
@@ -107,7 +107,7 @@
     /// servers of a service.
     #[must_use]
     pub fn of_entry(
-        server: &ServerLife,
+        server: &ServerIncarnation,
         most_per_s: f64,
         servers: usize,
         own: SocketAddr,
@@ -132,7 +132,7 @@
     /// service; then one send of a share may be in a span of several seconds.
     #[must_use]
     pub fn of_entry_at_limit(
-        server: &ServerLife,
+        server: &ServerIncarnation,
         most_per_s: f64,
         servers: usize,
         own: SocketAddr,
@@ -193,7 +193,12 @@
 }
 
 /// Whether an entry is among so many senders of a server.
-fn is_sender(server: &ServerLife, senders: usize, own: SocketAddr, entries: &[SocketAddr]) -> bool {
+fn is_sender(
+    server: &ServerIncarnation,
+    senders: usize,
+    own: SocketAddr,
+    entries: &[SocketAddr],
+) -> bool {
     let score = |address: &SocketAddr| {
         let seed = rendezvous::score(2, server.id());
         (rendezvous::score(seed, address.to_string()), *address)
--- a/crates/core/src/process/server_list.rs
+++ b/crates/core/src/process/server_list.rs
@@ -21,7 +21,7 @@
 use super::server_limit::ServerLimit;
 use super::server_use::ServerUse;
 use super::zone_uses::{ZoneChange, ZoneState, ZoneUses};
-use crate::id::{RowVersion, ServerId, ServerLife, ServiceId, ZoneId};
+use crate::id::{RowVersion, ServerId, ServerIncarnation, ServiceId, ZoneId};
 
 /// How long a server that lapsed in an outage may take to come back.
 /// Source: the platform writes entries again about 2 s after the store's return.
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerRecord {
     /// This life of the server.
-    pub life: ServerLife,
+    pub life: ServerIncarnation,
     /// Service that it belongs to.
     pub service: ServiceId,
     /// Where it listens.
@@ -80,7 +80,7 @@
     zones: ZoneUses,
     cold: ColdTimes,
     /// Limits that servers have named, also of some that are not listed yet.
-    limits: BTreeMap<ServerLife, ServerLimit>,
+    limits: BTreeMap<ServerIncarnation, ServerLimit>,
     /// Whether a whole list was taken: what comes after it has just started.
     is_whole: bool,
 }
@@ -102,7 +102,7 @@
     }
 
     /// Takes the limit that a server names, or its end; false if it is the same.
-    pub fn set_limit(&mut self, server: &ServerLife, limit: Option<ServerLimit>) -> bool {
+    pub fn set_limit(&mut self, server: &ServerIncarnation, limit: Option<ServerLimit>) -> bool {
         match limit {
             Some(limit) => self.limits.insert(server.clone(), limit) != Some(limit),
             None => self.limits.remove(server).is_some(),
@@ -111,7 +111,12 @@
 
     /// What may be sent to a life of a server now, where its service may have cold servers.
     #[must_use]
-    pub fn use_of(&self, life: &ServerLife, cold: Option<ColdTerms>, now: Duration) -> ServerUse {
+    pub fn use_of(
+        &self,
+        life: &ServerIncarnation,
+        cold: Option<ColdTerms>,
+        now: Duration,
+    ) -> ServerUse {
         let record = self.servers.get(life.id());
         let record = record.filter(|record| record.life == *life && self.is_servers_own(record));
         record.map_or(ServerUse::Unlisted, |record| {
@@ -257,13 +262,13 @@
 
     /// Whether a life of a server takes requests, be it as a cold one.
     #[must_use]
-    pub fn is_usable(&self, life: &ServerLife) -> bool {
+    pub fn is_usable(&self, life: &ServerIncarnation) -> bool {
         self.use_of(life, None, Duration::ZERO).is_usable()
     }
 
     /// Whether a life of a server is listed, be it as one that leaves.
     #[must_use]
-    pub fn is_listed(&self, life: &ServerLife) -> bool {
+    pub fn is_listed(&self, life: &ServerIncarnation) -> bool {
         self.use_of(life, None, Duration::ZERO) != ServerUse::Unlisted
     }
 
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -9,7 +9,7 @@
 
 #[doc(inline)]
 pub use claim::{
-    AttemptFate, ClaimReading, ClaimRow, ClaimState, StoredResult, attempt_fate, cancel_write,
+    AttemptStatus, ClaimRow, ClaimState, ClaimStatus, StoredResult, attempt_status, cancel_write,
     claim_write, finish_write, mark_unknown_write, read_claim,
 };
 #[doc(inline)]
--- a/crates/core/src/request/claim.rs
+++ b/crates/core/src/request/claim.rs
@@ -4,7 +4,7 @@
 //! the entry read to started, just before the call, and to finished after it. A started row is
 //! never made free again, except by the sidecar that holds it and has not made the call. So one
 //! version is claimed by at most one attempt, and a row that shows another attempt's claim proves
-//! that ours never ran; [`attempt_fate`] reads that off.
+//! that ours never ran; [`attempt_status`] reads that off.
 
 mod fate;
 mod reading;
@@ -12,9 +12,9 @@
 mod writes;
 
 #[doc(inline)]
-pub use fate::{AttemptFate, attempt_fate};
+pub use fate::{AttemptStatus, attempt_status};
 #[doc(inline)]
-pub use reading::{ClaimReading, read_claim};
+pub use reading::{ClaimStatus, read_claim};
 #[doc(inline)]
 pub use row::{ClaimRow, ClaimState, StoredResult};
 #[doc(inline)]
--- a/crates/core/src/request/claim/fate.rs
+++ b/crates/core/src/request/claim/fate.rs
@@ -6,7 +6,7 @@
 
 /// What a claim row proves about one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AttemptFate {
+pub enum AttemptStatus {
     /// It has not claimed, and may yet.
     MayStart,
     /// It holds the claim and may make the call.
@@ -22,15 +22,15 @@
 /// The row may be newer than any write of ours whose answer was lost, so this needs no history:
 /// a started row is never made free once its call is made.
 #[must_use]
-pub fn attempt_fate(row: &Row, attempt: AttemptId, carried: RowVersion) -> AttemptFate {
+pub fn attempt_status(row: &Row, attempt: AttemptId, carried: RowVersion) -> AttemptStatus {
     if row.version <= carried {
-        return AttemptFate::MayStart;
+        return AttemptStatus::MayStart;
     }
     match ClaimRow::parse(row).map(|claim| claim.state) {
         Some(ClaimState::Started {
             attempt: holder, ..
-        }) if holder == attempt => AttemptFate::Claimed,
-        Some(ClaimState::Started { .. } | ClaimState::Cancelled { .. }) => AttemptFate::NeverRan,
-        Some(ClaimState::Finished { .. } | ClaimState::Unknown) | None => AttemptFate::Closed,
+        }) if holder == attempt => AttemptStatus::Claimed,
+        Some(ClaimState::Started { .. } | ClaimState::Cancelled { .. }) => AttemptStatus::NeverRan,
+        Some(ClaimState::Finished { .. } | ClaimState::Unknown) | None => AttemptStatus::Closed,
     }
 }
--- a/crates/core/src/request/claim/reading.rs
+++ b/crates/core/src/request/claim/reading.rs
@@ -2,11 +2,11 @@
 
 use super::{ClaimRow, ClaimState, StoredResult};
 use crate::id::{AttemptId, HostId, Incarnation, RowVersion};
-use crate::wire::{Fingerprint, Outcome, Row};
+use crate::wire::{CallFingerprint, Outcome, Row};
 
 /// What a claim row tells about a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ClaimReading {
+pub enum ClaimStatus {
     /// Nobody has made the call; an attempt may claim this version.
     Free {
         /// Version to claim.
@@ -42,31 +42,31 @@
 ///
 /// A cancelled row is free for any call, since nothing was done under its key.
 #[must_use]
-pub fn read_claim(row: &Row, fingerprint: &Fingerprint) -> ClaimReading {
+pub fn read_claim(row: &Row, fingerprint: &CallFingerprint) -> ClaimStatus {
     let version = row.version;
     if version == RowVersion::default() {
-        return ClaimReading::Free { version };
+        return ClaimStatus::Free { version };
     }
     // A row that cannot be read may stand for a call that was made. Taking it for free would show
     // as a second settlement, so it is refused until an operator has looked at it.
     let Some(claim) = ClaimRow::parse(row) else {
-        return ClaimReading::Corrupt;
+        return ClaimStatus::Corrupt;
     };
     let is_same_call = claim.fingerprint == *fingerprint;
     match claim.state {
-        ClaimState::Cancelled { .. } => ClaimReading::Free { version },
-        _ if !is_same_call => ClaimReading::KeyReused,
+        ClaimState::Cancelled { .. } => ClaimStatus::Free { version },
+        _ if !is_same_call => ClaimStatus::KeyReused,
         ClaimState::Started {
             host,
             incarnation,
             attempt,
-        } => ClaimReading::Started {
+        } => ClaimStatus::Started {
             host,
             incarnation,
             attempt,
             version,
         },
-        ClaimState::Finished { outcome, result } => ClaimReading::Finished { outcome, result },
-        ClaimState::Unknown => ClaimReading::Unknown,
+        ClaimState::Finished { outcome, result } => ClaimStatus::Finished { outcome, result },
+        ClaimState::Unknown => ClaimStatus::Unknown,
     }
 }
--- a/crates/core/src/request/claim/row.rs
+++ b/crates/core/src/request/claim/row.rs
@@ -5,7 +5,7 @@
 
 use crate::id::{AttemptId, HostId, Incarnation};
 use crate::version::Envelope;
-use crate::wire::{Fingerprint, Outcome, Row};
+use crate::wire::{CallFingerprint, Outcome, Row};
 
 /// Body of a claim row.
 ///
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRow {
     /// Digest of the call that the key stands for.
-    pub fingerprint: Fingerprint,
+    pub fingerprint: CallFingerprint,
     /// How far the call has come.
     pub state: ClaimState,
 }
--- a/crates/core/src/request/claim/writes.rs
+++ b/crates/core/src/request/claim/writes.rs
@@ -3,7 +3,7 @@
 use super::{ClaimRow, ClaimState, StoredResult};
 use crate::id::{AttemptId, HostId, Incarnation, RowVersion, WriteId};
 use crate::version::ConditionalWrite;
-use crate::wire::{ClaimKey, ClaimTicket, Fingerprint, Outcome, Row};
+use crate::wire::{CallFingerprint, ClaimKey, ClaimTicket, Outcome, Row};
 
 /// Claims a call for an attempt, just before the call.
 ///
@@ -33,7 +33,7 @@
 #[must_use]
 pub fn finish_write(
     started: &Row,
-    fingerprint: Fingerprint,
+    fingerprint: CallFingerprint,
     outcome: Outcome,
     result: StoredResult,
     write_id: WriteId,
@@ -50,7 +50,7 @@
 pub fn cancel_write(
     key: &ClaimKey,
     version: RowVersion,
-    fingerprint: Fingerprint,
+    fingerprint: CallFingerprint,
     by: HostId,
     write_id: WriteId,
 ) -> ConditionalWrite {
@@ -63,7 +63,7 @@
 #[must_use]
 pub fn mark_unknown_write(
     started: &Row,
-    fingerprint: Fingerprint,
+    fingerprint: CallFingerprint,
     write_id: WriteId,
 ) -> ConditionalWrite {
     let state = ClaimState::Unknown;
--- a/crates/core/src/unit/budget.rs
+++ b/crates/core/src/unit/time_budget.rs
@@ -12,9 +12,9 @@
 #[serde_as]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Budget(#[serde_as(as = "DurationMilliSeconds<u64>")] Duration);
+pub struct TimeBudget(#[serde_as(as = "DurationMilliSeconds<u64>")] Duration);
 
-impl Budget {
+impl TimeBudget {
     /// Nothing left.
     pub const ZERO: Self = Self(Duration::ZERO);
 
@@ -44,12 +44,12 @@
 
     /// Whether the deadline has passed.
     #[must_use]
-    pub const fn is_spent(self) -> bool {
+    pub const fn is_exhausted(self) -> bool {
         self.0.is_zero()
     }
 }
 
-impl fmt::Display for Budget {
+impl fmt::Display for TimeBudget {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} ms", self.0.as_millis())
     }
--- a/crates/core/src/version.rs
+++ b/crates/core/src/version.rs
@@ -8,7 +8,7 @@
 mod compiled_tree;
 mod conditional_write;
 mod edit_record;
-mod effective;
+mod effective_settings;
 mod key_hash;
 mod lease;
 mod organisation;
@@ -37,7 +37,7 @@
 #[doc(inline)]
 pub use edit_record::EditRecord;
 #[doc(inline)]
-pub use effective::Effective;
+pub use effective_settings::EffectiveSettings;
 #[doc(inline)]
 pub use key_hash::{InvalidKeyHash, KeyHash};
 #[doc(inline)]
@@ -53,11 +53,12 @@
 #[doc(inline)]
 pub use placement::{
     Assignment, EngineOrder, EngineOrders, EngineRole, PLACEMENT_HEAD_KEY, PLACEMENT_KEY,
-    Placement, PlacementOffer, PlacementView, placement_head, placement_write, read_placement_head,
+    Placement, PlacementUpdate, PlacementView, placement_head, placement_write,
+    read_placement_head,
 };
 #[doc(inline)]
 pub use placement_plan::{
-    LoadTrack, PlanLimits, PlanQuestion, PlannedPlacement, Shortfall, plan_placement,
+    LoadTracker, PlanInput, PlanLimits, PlannedPlacement, Shortfall, plan_placement,
 };
 #[doc(inline)]
 pub use routing::{
@@ -72,7 +73,7 @@
 #[doc(inline)]
 pub use stage::Stage;
 #[doc(inline)]
-pub use table_copy::{TableCopy, TableNews};
+pub use table_copy::{TableChanges, TableCopy};
 #[doc(inline)]
 pub use tree_check::{
     MAX_DEADLINE_MS, MAX_DEPTH, MAX_IN_FLIGHT, MAX_LIMIT_PER_SECOND, MAX_REPLICAS, MAX_WEIGHT,
@@ -84,6 +85,6 @@
 #[doc(inline)]
 pub use tree_head::{SNAPSHOT_EVERY_EDITS, TREE_HEAD_KEY, TREE_SNAPSHOT_KEY, TreeHead};
 #[doc(inline)]
-pub use tree_log::{Taken, TreeLog};
+pub use tree_log::{TreeLog, TreeUpdate};
 #[doc(inline)]
 pub use tree_log_error::TreeLogError;
--- a/crates/core/src/version/compiled_tree.rs
+++ b/crates/core/src/version/compiled_tree.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Effective, KeyHash, Pipeline, Service, SettingsTree, TreeError};
+use super::{EffectiveSettings, KeyHash, Pipeline, Service, SettingsTree, TreeError};
 use crate::id::{OrganisationId, PipelineId, ServiceId, TreeVersion};
 
 /// A checked tree with the values in force computed once, and an index of keys.
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone)]
 pub struct CompiledTree {
     tree: SettingsTree,
-    effective: BTreeMap<OrganisationId, Effective>,
+    effective: BTreeMap<OrganisationId, EffectiveSettings>,
     /// Organisations by the first bytes of their key's hash; a list as these may coincide.
     by_key: BTreeMap<u64, Vec<(KeyHash, OrganisationId)>>,
 }
@@ -51,7 +51,7 @@
 
     /// Organisation of a bearer key, and what is in force for it.
     #[must_use]
-    pub fn caller(&self, bearer: impl AsRef<str>) -> Option<(&OrganisationId, &Effective)> {
+    pub fn caller(&self, bearer: impl AsRef<str>) -> Option<(&OrganisationId, &EffectiveSettings)> {
         let asked = KeyHash::of(bearer);
         let candidates = self.by_key.get(&asked.prefix())?;
         let (_, id) = candidates.iter().find(|(hash, _)| hash.matches(&asked))?;
@@ -60,7 +60,7 @@
 
     /// Values in force for an organisation.
     #[must_use]
-    pub fn organisation(&self, id: &OrganisationId) -> Option<&Effective> {
+    pub fn organisation(&self, id: &OrganisationId) -> Option<&EffectiveSettings> {
         self.effective.get(id)
     }
 
--- a/crates/core/src/version/effective.rs
+++ b/crates/core/src/version/effective_settings.rs
@@ -8,7 +8,7 @@
 
 /// Values in force for one organisation, each with its source.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Effective {
+pub struct EffectiveSettings {
     /// Whether the organisation pays.
     pub class: Sourced<Class>,
     /// Whether the organisation or an ancestor is suspended.
@@ -25,7 +25,7 @@
     pub deadline_ms: Sourced<u64>,
 }
 
-impl Effective {
+impl EffectiveSettings {
     /// Whether the organisation may use a pipeline.
     #[must_use]
     pub fn allows(&self, pipeline: &PipelineId) -> bool {
--- a/crates/core/src/version/placement.rs
+++ b/crates/core/src/version/placement.rs
@@ -21,4 +21,4 @@
     read_placement_head,
 };
 #[doc(inline)]
-pub use view::{PlacementOffer, PlacementView};
+pub use view::{PlacementUpdate, PlacementView};
--- a/crates/core/src/version/placement/engine_orders.rs
+++ b/crates/core/src/version/placement/engine_orders.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Assignment, PlacementOffer, PlacementView};
+use super::{Assignment, PlacementUpdate, PlacementView};
 use crate::id::{HostId, PlacementVersion};
 use crate::unit::SidecarClock;
 use crate::wire::Row;
@@ -15,7 +15,7 @@
     /// What the engine is to run.
     pub assignment: Assignment,
     /// Whether the order before it got no answer; close that order's connection first.
-    pub replaces_silent: bool,
+    pub replaces_unanswered: bool,
 }
 
 /// Decides which order the engine gets next, one at a time.
@@ -63,8 +63,8 @@
     }
 
     /// Takes the placement row as read.
-    pub fn offer(&mut self, row: &Row) -> PlacementOffer {
-        self.view.offer(row)
+    pub fn observe(&mut self, row: &Row) -> PlacementUpdate {
+        self.view.observe(row)
     }
 
     /// The newest placement seen.
@@ -89,8 +89,8 @@
         // Two orders under way at once may be carried out in either order by an engine that
         // ignores the number. So the next goes out only after an answer, or after silence and on a
         // new connection, and it then carries what is wanted now.
-        let replaces_silent = self.in_flight.is_some();
-        if !replaces_silent && self.confirmed.as_ref() == Some(&wanted) {
+        let replaces_unanswered = self.in_flight.is_some();
+        if !replaces_unanswered && self.confirmed.as_ref() == Some(&wanted) {
             return None;
         }
         let number = self.view.version();
@@ -102,7 +102,7 @@
         Some(EngineOrder {
             number,
             assignment: wanted,
-            replaces_silent,
+            replaces_unanswered,
         })
     }
 
@@ -131,7 +131,7 @@
     ///
     /// An engine that restarted has forgotten its orders, and one that ignores the number may have
     /// carried out an old one late. Its own report shows either, and the order is due again.
-    pub fn reported(&mut self, running: Assignment) {
+    pub fn observe_running(&mut self, running: Assignment) {
         if self.in_flight.is_none() {
             self.confirmed = Some(running);
         }
--- a/crates/core/src/version/placement/view.rs
+++ b/crates/core/src/version/placement/view.rs
@@ -6,9 +6,9 @@
 
 /// What came of a row offered to a view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PlacementOffer {
+pub enum PlacementUpdate {
     /// It is newer and is the view now.
-    Taken,
+    Applied,
     /// The view has this version or a newer one.
     NotNewer,
     /// It cannot be read; the view stays.
@@ -34,23 +34,23 @@
     ///
     /// Answers of the table overtake each other. Following an older one would show as an engine
     /// that unloads the model it has just loaded, so only a higher version counts.
-    pub fn offer(&mut self, row: &Row) -> PlacementOffer {
+    pub fn observe(&mut self, row: &Row) -> PlacementUpdate {
         let version = PlacementVersion::new(row.version.get());
         if row.key != PLACEMENT_KEY {
-            return PlacementOffer::Corrupt;
+            return PlacementUpdate::Corrupt;
         }
         if version <= self.version {
             // An absent row has version 0: it is read, and there is nothing to do.
             self.is_read = true;
-            return PlacementOffer::NotNewer;
+            return PlacementUpdate::NotNewer;
         }
         let Some(placement) = Placement::parse(row) else {
-            return PlacementOffer::Corrupt;
+            return PlacementUpdate::Corrupt;
         };
         self.is_read = true;
         self.version = version;
         self.placement = placement;
-        PlacementOffer::Taken
+        PlacementUpdate::Applied
     }
 
     /// Whether the row was read since the process started.
--- a/crates/core/src/version/placement_plan.rs
+++ b/crates/core/src/version/placement_plan.rs
@@ -10,9 +10,9 @@
 //! is then not named at all, so its engine keeps its models until the last request on it has ended.
 
 mod draft;
-mod load_track;
+mod load_tracker;
+mod plan_input;
 mod plan_limits;
-mod plan_question;
 mod planned_placement;
 mod shortfall;
 
@@ -21,11 +21,11 @@
 use draft::Draft;
 
 #[doc(inline)]
-pub use load_track::LoadTrack;
+pub use load_tracker::LoadTracker;
 #[doc(inline)]
-pub use plan_limits::PlanLimits;
+pub use plan_input::PlanInput;
 #[doc(inline)]
-pub use plan_question::PlanQuestion;
+pub use plan_limits::PlanLimits;
 #[doc(inline)]
 pub use planned_placement::PlannedPlacement;
 #[doc(inline)]
@@ -35,7 +35,7 @@
 ///
 /// The same question always has the same answer, so that planners that follow each other agree.
 #[must_use]
-pub fn plan_placement(question: &PlanQuestion<'_>) -> PlannedPlacement {
+pub fn plan_placement(question: &PlanInput<'_>) -> PlannedPlacement {
     let mut draft = Draft::new(question);
     let mut shortfalls = Vec::new();
     let mut waiting_loads = 0;
--- a/crates/core/src/version/placement_plan/draft.rs
+++ b/crates/core/src/version/placement_plan/draft.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{PlanQuestion, count_of};
+use super::{PlanInput, count_of};
 use crate::id::{HostId, ModelId, RegionId, ZoneId};
 use crate::version::{Assignment, Service};
 use crate::wire::HostRecord;
@@ -28,7 +28,7 @@
 }
 
 impl<'a> Draft<'a> {
-    pub(super) fn new(question: &PlanQuestion<'a>) -> Self {
+    pub(super) fn new(question: &PlanInput<'a>) -> Self {
         let hosts = question.hosts.hosts.iter();
         let regions: BTreeMap<_, _> = hosts.map(|record| (&record.host, &record.region)).collect();
         let mut loads = BTreeMap::new();
--- a/crates/core/src/version/placement_plan/load_track.rs
+++ b/crates/core/src/version/placement_plan/load_tracker.rs
@@ -12,7 +12,7 @@
 /// It lives in the planner's memory. A new planner takes every replica for one that is loading
 /// until it has heard otherwise, and so paces too much rather than too little.
 #[derive(Debug, Clone)]
-pub struct LoadTrack {
+pub struct LoadTracker {
     patience: Duration,
     replicas: BTreeMap<(HostId, ModelId), Progress>,
 }
@@ -23,7 +23,7 @@
     Loaded,
 }
 
-impl LoadTrack {
+impl LoadTracker {
     /// Starts without replicas; a load is overdue once it has taken longer than the patience.
     #[must_use]
     pub fn new(patience: Duration) -> Self {
@@ -34,7 +34,7 @@
     }
 
     /// Takes the placement in force: new replicas are loading from now on, others are forgotten.
-    pub fn follow(&mut self, assignments: &BTreeMap<HostId, Assignment>, now: SidecarClock) {
+    pub fn set_placement(&mut self, assignments: &BTreeMap<HostId, Assignment>, now: SidecarClock) {
         let placed = |host: &HostId, model: &ModelId| {
             let assignment = assignments.get(host);
             assignment.is_some_and(|assignment| assignment.models.contains(model))
@@ -50,7 +50,7 @@
     }
 
     /// Takes what an engine was last heard to run.
-    pub fn reported(&mut self, host: &HostId, running: &Assignment) {
+    pub fn observe_running(&mut self, host: &HostId, running: &Assignment) {
         let of_host = self.replicas.iter_mut().filter(|((h, _), _)| h == host);
         for ((_, model), progress) in of_host {
             if running.models.contains(model) {
@@ -61,7 +61,7 @@
 
     /// Hosts with a replica that has not been reported as loaded.
     #[must_use]
-    pub fn loading_hosts(&self) -> BTreeSet<HostId> {
+    pub fn hosts_with_loading_replicas(&self) -> BTreeSet<HostId> {
         let loading = self.loading().map(|((host, _), _)| host.clone());
         loading.collect()
     }
--- a/crates/core/src/version/placement_plan/plan_question.rs
+++ b/crates/core/src/version/placement_plan/plan_input.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{LoadTrack, PlanLimits};
+use super::{LoadTracker, PlanLimits};
 use crate::id::{HostId, ServiceId};
 use crate::unit::SidecarClock;
 use crate::version::{Assignment, Service};
@@ -10,7 +10,7 @@
 
 /// What a plan is made from.
 #[derive(Debug, Clone, Copy)]
-pub struct PlanQuestion<'a> {
+pub struct PlanInput<'a> {
     /// Services of the settings tree.
     pub services: &'a BTreeMap<ServiceId, Service>,
     /// The host list.
@@ -18,14 +18,14 @@
     /// Placement in force.
     pub current: &'a BTreeMap<HostId, Assignment>,
     /// Which replicas are loaded.
-    pub loads: &'a LoadTrack,
+    pub loads: &'a LoadTracker,
     /// Present time.
     pub now: SidecarClock,
     /// Bounds.
     pub limits: PlanLimits,
 }
 
-impl<'a> PlanQuestion<'a> {
+impl<'a> PlanInput<'a> {
     /// Services that want models; the engines of others are left alone.
     pub(super) fn managed_services(&self) -> impl Iterator<Item = (&'a ServiceId, &'a Service)> {
         let services = self.services.iter();
--- a/crates/core/src/version/routing.rs
+++ b/crates/core/src/version/routing.rs
@@ -43,7 +43,7 @@
     routes: HashMap<String, HostRoutes>,
     pools: BTreeMap<ServiceId, Pool>,
     holders: HashMap<String, Arc<KeyHolder>>,
-    is_keyed: bool,
+    requires_keys: bool,
 }
 
 impl fmt::Debug for Routing {
@@ -91,7 +91,7 @@
     /// Asks for keys on all routes that are not public, and adds who holds which.
     #[must_use]
     pub fn with_holders(mut self, holders: impl IntoIterator<Item = KeyHolder>) -> Self {
-        self.is_keyed = true;
+        self.requires_keys = true;
         for holder in holders {
             let holder = Arc::new(holder);
             for key in &holder.keys {
@@ -115,8 +115,8 @@
 
     /// Whether routes that are not public need a key.
     #[must_use]
-    pub const fn is_keyed(&self) -> bool {
-        self.is_keyed
+    pub const fn requires_keys(&self) -> bool {
+        self.requires_keys
     }
 
     /// The route of a host name with the longest prefix of a path.
--- a/crates/core/src/version/routing/pool.rs
+++ b/crates/core/src/version/routing/pool.rs
@@ -41,15 +41,15 @@
     /// Time that each piece adds.
     pub piece_time: Duration,
     /// Room for results that are kept.
-    pub room_bytes: u64,
+    pub result_capacity_bytes: u64,
     /// How long a result is kept unless it is freed.
-    pub kept_for: Duration,
+    pub result_retention: Duration,
 }
 
 impl BatchSpec {
     /// Time of a call with so many pieces.
     #[must_use]
-    pub fn time_of(&self, pieces: usize) -> Duration {
+    pub fn call_time_for(&self, pieces: usize) -> Duration {
         let pieces = u32::try_from(pieces).unwrap_or(u32::MAX);
         self.call_time + self.piece_time.saturating_mul(pieces)
     }
--- a/crates/core/src/version/routing/route.rs
+++ b/crates/core/src/version/routing/route.rs
@@ -62,7 +62,7 @@
     /// Longest time that a caller is kept waiting.
     pub timeout: Duration,
     /// Time within which an answer has its full worth.
-    pub aim: Duration,
+    pub target_latency: Duration,
     /// Rank, 0 first.
     pub priority: u8,
     /// Services with their shares.
--- a/crates/core/src/version/settings_tree.rs
+++ b/crates/core/src/version/settings_tree.rs
@@ -5,8 +5,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    Effective, KeyHash, MAX_DEPTH, Organisation, Overrides, Pipeline, Service, Sourced, TreeEdit,
-    TreeError,
+    EffectiveSettings, KeyHash, MAX_DEPTH, Organisation, Overrides, Pipeline, Service, Sourced,
+    TreeEdit, TreeError,
 };
 use crate::id::{OrganisationId, PipelineId, ServiceId, TreeVersion, ZoneId};
 use crate::unit::{Class, RatePerSecond, Weight};
@@ -100,9 +100,9 @@
 
     /// Values in force for an organisation; none if it is not in the tree.
     #[must_use]
-    pub fn effective(&self, id: &OrganisationId) -> Option<Effective> {
+    pub fn effective(&self, id: &OrganisationId) -> Option<EffectiveSettings> {
         let line = self.line(id)?;
-        Some(Effective {
+        Some(EffectiveSettings {
             class: nearest(&line, |o| o.class)?,
             is_suspended: suspension(&line)?,
             limit_per_second: nearest(&line, |o| o.overrides.limit_per_second)?,
--- a/crates/core/src/version/table_copy.rs
+++ b/crates/core/src/version/table_copy.rs
@@ -15,11 +15,11 @@
 
 /// What became of a table since a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum TableNews<V> {
+pub enum TableChanges<V> {
     /// All its rows: what was dropped since then is no longer known.
-    All(Vec<(String, V, RowVersion)>),
+    Full(Vec<(String, V, RowVersion)>),
     /// Rows that were written, and those that were dropped without a value.
-    Changed(Vec<(String, Option<V>, RowVersion)>),
+    Incremental(Vec<(String, Option<V>, RowVersion)>),
 }
 
 /// A copy of a table.
@@ -36,8 +36,8 @@
 /// copy.replace([row], RowVersion::new(7), Duration::from_secs(1));
 /// let gone = ("a".to_owned(), None, RowVersion::new(8));
 /// copy.change([gone.clone()], RowVersion::new(8), Duration::from_secs(2));
-/// assert_eq!(copy.since(RowVersion::new(7)), TableNews::Changed(vec![gone]));
-/// assert_eq!(copy.since(RowVersion::new(2)), TableNews::All(Vec::new()));
+/// assert_eq!(copy.changes_since(RowVersion::new(7)), TableNews::Changed(vec![gone]));
+/// assert_eq!(copy.changes_since(RowVersion::new(2)), TableNews::All(Vec::new()));
 /// ```
 #[derive(Debug, Clone)]
 pub struct TableCopy<V> {
@@ -134,11 +134,11 @@
 
     /// What became of the table since a version.
     #[must_use]
-    pub fn since(&self, version: RowVersion) -> TableNews<V> {
+    pub fn changes_since(&self, version: RowVersion) -> TableChanges<V> {
         if version < self.known_from {
             let rows = self.rows.iter();
             let rows = rows.map(|(key, (value, version))| (key.clone(), value.clone(), *version));
-            return TableNews::All(rows.collect());
+            return TableChanges::Full(rows.collect());
         }
         let written = self.rows.iter().filter(|(_, (_, of))| *of > version);
         let written =
@@ -148,6 +148,6 @@
         let dropped = dropped.flat_map(|(of, keys)| keys.iter().map(|key| (key.clone(), *of)));
         let dropped = dropped.filter(|(key, _)| !self.rows.contains_key(key));
         let dropped = dropped.map(|(key, version)| (key, None, version));
-        TableNews::Changed(written.chain(dropped).collect())
+        TableChanges::Incremental(written.chain(dropped).collect())
     }
 }
--- a/crates/core/src/version/tree_log.rs
+++ b/crates/core/src/version/tree_log.rs
@@ -12,11 +12,11 @@
 
 /// What taking a reply changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum TreeUpdate {
     /// The reply held nothing newer.
-    Nothing,
+    Unchanged,
     /// A newer version is in force.
-    Newer {
+    Updated {
         /// Version before.
         from: TreeVersion,
         /// Version now.
@@ -33,8 +33,8 @@
 ///
 /// let ahead = TreeLog::new(SettingsTree::empty())?;
 /// let mut behind = TreeLog::new(SettingsTree::empty())?;
-/// let reply = ahead.since(behind.version());
-/// assert_eq!(behind.take(reply)?, Taken::Nothing);
+/// let reply = ahead.changes_since(behind.version());
+/// assert_eq!(behind.apply_reply(reply)?, Taken::Nothing);
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 #[derive(Debug, Clone)]
@@ -81,22 +81,22 @@
     }
 
     /// Takes what is newer in a reply, wholly or not at all.
-    pub fn take(&mut self, reply: TreeReply) -> Result<Taken, TreeLogError> {
+    pub fn apply_reply(&mut self, reply: TreeReply) -> Result<TreeUpdate, TreeLogError> {
         match reply {
-            TreeReply::UpToDate(_) => Ok(Taken::Nothing),
+            TreeReply::UpToDate(_) => Ok(TreeUpdate::Unchanged),
             TreeReply::Edits { edits, .. } => self.take_edits(&edits),
             TreeReply::Whole { version, tree } => self.take_whole(version, &tree),
         }
     }
 
     /// Takes one edit that this process read from or wrote to the table.
-    pub fn take_record(&mut self, record: EditRecord) -> Result<Taken, TreeLogError> {
+    pub fn apply_record(&mut self, record: EditRecord) -> Result<TreeUpdate, TreeLogError> {
         self.take_records(vec![record])
     }
 
     /// Answers a process that has a version.
     #[must_use]
-    pub fn since(&self, version: TreeVersion) -> TreeReply {
+    pub fn changes_since(&self, version: TreeVersion) -> TreeReply {
         if version >= self.version() {
             return TreeReply::UpToDate(self.version());
         }
@@ -113,7 +113,7 @@
         }
     }
 
-    fn take_edits(&mut self, edits: &[String]) -> Result<Taken, TreeLogError> {
+    fn take_edits(&mut self, edits: &[String]) -> Result<TreeUpdate, TreeLogError> {
         let read = |text: &String| {
             let record = EditRecord::from_json(text);
             record.map_err(|cause| TreeLogError::Invalid(self.version(), cause))
@@ -124,10 +124,10 @@
 
     /// Takes records in order. The last version is checked as a whole; those before it were
     /// checked when they were accepted, and a check of each would hold up a process for long.
-    fn take_records(&mut self, records: Vec<EditRecord>) -> Result<Taken, TreeLogError> {
+    fn take_records(&mut self, records: Vec<EditRecord>) -> Result<TreeUpdate, TreeLogError> {
         let newer = self.newer(records)?;
         if newer.is_empty() {
-            return Ok(Taken::Nothing);
+            return Ok(TreeUpdate::Unchanged);
         }
         let mut tree = self.current.tree().clone();
         for record in &newer {
@@ -165,12 +165,12 @@
         Ok(newer)
     }
 
-    fn take_whole(&mut self, version: TreeVersion, tree: &str) -> Result<Taken, TreeLogError> {
+    fn take_whole(&mut self, version: TreeVersion, tree: &str) -> Result<TreeUpdate, TreeLogError> {
         // Failure: a peer that just woke, or a snapshot row that lags the head, offers a tree
         // older than the one in force, and an accepted edit would be undone. Guard: a tree is
         // taken only if its version is higher, whoever sends it.
         if version <= self.version() {
-            return Ok(Taken::Nothing);
+            return Ok(TreeUpdate::Unchanged);
         }
         let tree = SettingsTree::from_json(tree);
         let tree = tree.map_err(|cause| TreeLogError::Invalid(version, cause))?;
@@ -182,13 +182,13 @@
         Ok(taken)
     }
 
-    fn put_in_force(&mut self, tree: SettingsTree) -> Result<Taken, TreeLogError> {
+    fn put_in_force(&mut self, tree: SettingsTree) -> Result<TreeUpdate, TreeLogError> {
         let from = self.version();
         let to = tree.version;
         let compiled = CompiledTree::new(tree);
         let compiled = compiled.map_err(|cause| TreeLogError::Invalid(to, cause))?;
         self.current = Arc::new(compiled);
-        Ok(Taken::Newer { from, to })
+        Ok(TreeUpdate::Updated { from, to })
     }
 
     /// Two edits under one version mean that the table or a peer broke its word.
--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -15,7 +15,7 @@
 mod tree_exchange;
 
 #[doc(inline)]
-pub use claim_ticket::{ClaimKey, ClaimTicket, Fingerprint};
+pub use claim_ticket::{CallFingerprint, ClaimKey, ClaimTicket};
 #[doc(inline)]
 pub use codec::{DecodeError, decode, encode};
 #[doc(inline)]
@@ -23,7 +23,7 @@
 #[doc(inline)]
 pub use engine_report::EngineReport;
 #[doc(inline)]
-pub use frame::{Chunk, Digest, End, Frame, Outcome, StageCost};
+pub use frame::{Chunk, End, Frame, Outcome, ResultDigest, StageCost};
 #[doc(inline)]
 pub use hello::Hello;
 #[doc(inline)]
@@ -35,4 +35,4 @@
 #[doc(inline)]
 pub use stamp::{LoadReport, Stamp};
 #[doc(inline)]
-pub use tree_exchange::{TreeReply, TreeSince};
+pub use tree_exchange::{TreeReply, TreeRequest};
--- a/crates/core/src/wire/claim_ticket.rs
+++ b/crates/core/src/wire/claim_ticket.rs
@@ -29,11 +29,11 @@
 #[serde_as]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Fingerprint(
+pub struct CallFingerprint(
     #[serde_as(as = "serde_with::IfIsHumanReadable<serde_with::hex::Hex, Bytes>")] [u8; 32],
 );
 
-impl Fingerprint {
+impl CallFingerprint {
     /// Digests the path and body of a call.
     #[must_use]
     pub fn of(path: impl AsRef<str>, body: impl AsRef<[u8]>) -> Self {
@@ -54,5 +54,5 @@
     /// Version that the entry read; the claim succeeds on no other.
     pub version: RowVersion,
     /// Digest of the call, kept in the row.
-    pub fingerprint: Fingerprint,
+    pub fingerprint: CallFingerprint,
 }
--- a/crates/core/src/wire/dispatch.rs
+++ b/crates/core/src/wire/dispatch.rs
@@ -5,7 +5,7 @@
 
 use super::ClaimTicket;
 use crate::id::{AttemptId, Incarnation, OrganisationId, ServiceId, TreeVersion};
-use crate::unit::{Budget, Class, SidecarClock, Weight};
+use crate::unit::{Class, SidecarClock, TimeBudget, Weight};
 
 /// Asks a sidecar to run one attempt.
 #[serde_as]
@@ -18,7 +18,7 @@
     /// Point on the sidecar's clock after which the attempt may not start.
     pub expiry: SidecarClock,
     /// Time left for this attempt.
-    pub budget: Budget,
+    pub budget: TimeBudget,
     /// Organisation that the work is for.
     pub organisation: OrganisationId,
     /// Class of that organisation.
--- a/crates/core/src/wire/frame.rs
+++ b/crates/core/src/wire/frame.rs
@@ -12,11 +12,11 @@
 #[serde_as]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Digest(
+pub struct ResultDigest(
     #[serde_as(as = "serde_with::IfIsHumanReadable<serde_with::hex::Hex, Bytes>")] [u8; 32],
 );
 
-impl Digest {
+impl ResultDigest {
     /// Digests a whole result.
     #[must_use]
     pub fn of(result: impl AsRef<[u8]>) -> Self {
@@ -51,7 +51,7 @@
     /// Length of the whole result.
     pub length_bytes: u64,
     /// Digest of the whole result.
-    pub digest: Digest,
+    pub digest: ResultDigest,
     /// When to come back, for a refusal.
     pub retry_after_ms: Option<u64>,
     /// What the attempt cost.
@@ -66,7 +66,7 @@
             code,
             backend_status: 0,
             length_bytes: 0,
-            digest: Digest::of([]),
+            digest: ResultDigest::of([]),
             retry_after_ms: None,
             cost: StageCost::default(),
         }
--- a/crates/core/src/wire/revoke.rs
+++ b/crates/core/src/wire/revoke.rs
@@ -4,7 +4,7 @@
 
 use super::{Outcome, Stamp};
 use crate::id::{AttemptId, Incarnation};
-use crate::unit::{Budget, SidecarClock};
+use crate::unit::{SidecarClock, TimeBudget};
 
 /// Asks a sidecar to keep an attempt from starting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -53,5 +53,5 @@
     /// First chunk that is wanted.
     pub from_chunk: u64,
     /// How long the answer may take.
-    pub budget: Budget,
+    pub budget: TimeBudget,
 }
--- a/crates/core/src/wire/tree_exchange.rs
+++ b/crates/core/src/wire/tree_exchange.rs
@@ -6,7 +6,7 @@
 
 /// Asks for what came after a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TreeSince {
+pub struct TreeRequest {
     /// Host that asks.
     pub from: HostId,
     /// Version that it has.
--- a/crates/core/tests/backend_choice.rs
+++ b/crates/core/tests/backend_choice.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use amaranthscale_core::id::{ServerLife, ZoneId};
+use amaranthscale_core::id::{ServerIncarnation, ZoneId};
 use amaranthscale_core::process::{
     BackendChoice, ConnectionShare, HealthChange, SeenLoad, SeenNumber, SendEnd, SendingEntry,
     ServerRecord, ToldLoad, UsableServers,
@@ -39,7 +39,7 @@
     SendingEntry::new(&"g0".parse().unwrap(), zone, ConnectionShare::WHOLE)
 }
 
-fn plain(choice: &BackendChoice, servers: &[ServerRecord], now: Duration) -> ServerLife {
+fn plain(choice: &BackendChoice, servers: &[ServerRecord], now: Duration) -> ServerIncarnation {
     let chosen = choice.plain(
         servers.iter().collect(),
         &BTreeSet::new(),
@@ -49,7 +49,7 @@
     chosen.unwrap().life.clone()
 }
 
-fn engine(choice: &BackendChoice, servers: &[ServerRecord], part: &str) -> ServerLife {
+fn engine(choice: &BackendChoice, servers: &[ServerRecord], part: &str) -> ServerIncarnation {
     let chosen = choice.engine(servers.iter().collect(), &BTreeSet::new(), part, NOW);
     chosen.unwrap().life.clone()
 }
@@ -57,7 +57,7 @@
 /// What a choice was made by is written to the log, and must be what the choice saw.
 #[test]
 fn the_load_that_is_seen_is_ours_and_what_was_told_with_its_age() {
-    let server: ServerLife = "s0".parse().unwrap();
+    let server: ServerIncarnation = "s0".parse().unwrap();
     let mut choice = BackendChoice::default();
     assert_eq!(choice.seen(&server, NOW), SeenLoad::default());
     let load = ToldLoad {
@@ -76,7 +76,7 @@
     assert_eq!(SeenNumber(None).to_string(), "-");
 }
 
-fn fail(choice: &mut BackendChoice, server: &ServerLife, times: usize) {
+fn fail(choice: &mut BackendChoice, server: &ServerIncarnation, times: usize) {
     for _ in 0..times {
         choice.sent(server);
         choice.ended(server, SendEnd::Failed, Duration::ZERO, NOW);
--- a/crates/core/tests/batcher/bench.rs
+++ b/crates/core/tests/batcher/bench.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use amaranthscale_core::id::{ResultHandle, RoutingVersion, ServerLife, StartMs};
+use amaranthscale_core::id::{ResultHandle, RoutingVersion, ServerIncarnation, StartMs};
 use amaranthscale_core::process::{
     Batch, BatchEnd, Batcher, Cell, JobEvent, JobId, PieceEnd, PipelineOrder, Rank, ServerRecord,
     ServerUse, StageOrder, USUAL_ENGINE_TIME,
@@ -58,7 +58,7 @@
     }
 
     /// Lets a server start again under its id.
-    pub fn restart(&mut self, id: &str) -> ServerLife {
+    pub fn restart(&mut self, id: &str) -> ServerIncarnation {
         *self.restarts.entry(id.to_owned()).or_default() += 1;
         let zones = self.zones.clone();
         let zones: Vec<_> = zones.iter().map(String::as_str).collect();
@@ -75,10 +75,10 @@
     }
 
     /// The life of a server now.
-    pub fn life(&self, id: &str) -> ServerLife {
+    pub fn life(&self, id: &str) -> ServerIncarnation {
         let restarts = self.restarts.get(id).copied().unwrap_or(0);
         let started = StartMs::new(1_000 + restarts);
-        ServerLife::new(id.parse().unwrap()).started_at(started)
+        ServerIncarnation::new(id.parse().unwrap()).started_at(started)
     }
 
     pub fn set_servers(&mut self, zones: &[&str]) {
@@ -194,8 +194,8 @@
             max_pieces: 10,
             call_time: ms(200),
             piece_time: ms(10),
-            room_bytes: ROOM_BYTES,
-            kept_for: ms(4_000),
+            result_capacity_bytes: ROOM_BYTES,
+            result_retention: ms(4_000),
         }),
         cold: None,
     }
--- a/crates/core/tests/batcher/random.rs
+++ b/crates/core/tests/batcher/random.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use amaranthscale_core::id::{ResultHandle, ServerLife};
+use amaranthscale_core::id::{ResultHandle, ServerIncarnation};
 use amaranthscale_core::process::{
     Batch, BatchEnd, JobEvent, JobId, KeptPiece, PieceEnd, PieceInput, PipelineOrder,
 };
@@ -29,7 +29,7 @@
     reported: BTreeSet<JobId>,
     running: Vec<Batch>,
     /// Results by the life that keeps them.
-    kept: BTreeMap<ResultHandle, ServerLife>,
+    kept: BTreeMap<ResultHandle, ServerIncarnation>,
     freed: BTreeSet<ResultHandle>,
     /// What each open job's gateway knows: its order, and what it was told to be made.
     orders: BTreeMap<JobId, PipelineOrder>,
@@ -134,7 +134,12 @@
         }
     }
 
-    fn piece_end(&mut self, bench: &mut Bench, random: &mut Gen, server: &ServerLife) -> PieceEnd {
+    fn piece_end(
+        &mut self,
+        bench: &mut Bench,
+        random: &mut Gen,
+        server: &ServerIncarnation,
+    ) -> PieceEnd {
         match pick(random, 30) {
             0 => PieceEnd::Failed,
             1 => PieceEnd::NoRoom,
@@ -161,7 +166,7 @@
             }
         }
         self.running.extend(batches);
-        let mut calls: BTreeMap<&ServerLife, usize> = BTreeMap::new();
+        let mut calls: BTreeMap<&ServerIncarnation, usize> = BTreeMap::new();
         for batch in &self.running {
             *calls.entry(&batch.server).or_default() += 1;
         }
--- a/crates/core/tests/claim_rows.rs
+++ b/crates/core/tests/claim_rows.rs
@@ -6,12 +6,12 @@
     RowVersion, StageIndex, WriteId,
 };
 use amaranthscale_core::request::{
-    AttemptFate, ClaimReading, StoredResult, attempt_fate, cancel_write, claim_write, finish_write,
-    mark_unknown_write, read_claim,
+    AttemptStatus, ClaimStatus, StoredResult, attempt_status, cancel_write, claim_write,
+    finish_write, mark_unknown_write, read_claim,
 };
 use amaranthscale_core::version::{ConditionalWrite, WriteEvent, WriteStep};
 use amaranthscale_core::wire::{
-    ClaimKey, ClaimTicket, Fingerprint, Outcome, Row, RowCheck, TransactionReply,
+    CallFingerprint, ClaimKey, ClaimTicket, Outcome, Row, RowCheck, TransactionReply,
 };
 
 fn key() -> ClaimKey {
@@ -22,8 +22,8 @@
     }
 }
 
-fn fingerprint() -> Fingerprint {
-    Fingerprint::of("/settle", "17")
+fn fingerprint() -> CallFingerprint {
+    CallFingerprint::of("/settle", "17")
 }
 
 fn attempt(number: u32) -> AttemptId {
@@ -101,25 +101,25 @@
 
     assert_eq!(
         read(&absent()),
-        ClaimReading::Free {
+        ClaimStatus::Free {
             version: RowVersion::default()
         }
     );
     assert_eq!(
         read(&row(&cancel(0, "w4"), 1)),
-        ClaimReading::Free {
+        ClaimStatus::Free {
             version: RowVersion::new(1)
         }
     );
-    assert!(matches!(read(&started), ClaimReading::Started { attempt: a, .. } if a == attempt(1)));
+    assert!(matches!(read(&started), ClaimStatus::Started { attempt: a, .. } if a == attempt(1)));
     assert_eq!(
         read(&row(&finish, 2)),
-        ClaimReading::Finished { outcome, result }
+        ClaimStatus::Finished { outcome, result }
     );
-    assert_eq!(read(&row(&unknown, 2)), ClaimReading::Unknown);
+    assert_eq!(read(&row(&unknown, 2)), ClaimStatus::Unknown);
     assert_eq!(
-        read_claim(&started, &Fingerprint::of("/settle", "18")),
-        ClaimReading::KeyReused
+        read_claim(&started, &CallFingerprint::of("/settle", "18")),
+        ClaimStatus::KeyReused
     );
 }
 
@@ -133,22 +133,22 @@
         ..absent()
     };
 
-    assert_eq!(read_claim(&corrupt, &fingerprint()), ClaimReading::Corrupt);
+    assert_eq!(read_claim(&corrupt, &fingerprint()), ClaimStatus::Corrupt);
     assert_eq!(
-        attempt_fate(&corrupt, attempt(1), RowVersion::new(2)),
-        AttemptFate::Closed
+        attempt_status(&corrupt, attempt(1), RowVersion::new(2)),
+        AttemptStatus::Closed
     );
 }
 
 #[test]
 fn a_row_tells_the_fate_of_an_attempt() {
     let carried = RowVersion::default();
-    let fate = |row: &Row| attempt_fate(row, attempt(1), carried);
+    let fate = |row: &Row| attempt_status(row, attempt(1), carried);
 
-    assert_eq!(fate(&absent()), AttemptFate::MayStart);
-    assert_eq!(fate(&row(&claim(0, 1, "w1"), 1)), AttemptFate::Claimed);
-    assert_eq!(fate(&row(&claim(0, 2, "w1"), 1)), AttemptFate::NeverRan);
-    assert_eq!(fate(&row(&cancel(0, "w1"), 1)), AttemptFate::NeverRan);
+    assert_eq!(fate(&absent()), AttemptStatus::MayStart);
+    assert_eq!(fate(&row(&claim(0, 1, "w1"), 1)), AttemptStatus::Claimed);
+    assert_eq!(fate(&row(&claim(0, 2, "w1"), 1)), AttemptStatus::NeverRan);
+    assert_eq!(fate(&row(&cancel(0, "w1"), 1)), AttemptStatus::NeverRan);
 }
 
 #[test]
--- a/crates/core/tests/limit_words.rs
+++ b/crates/core/tests/limit_words.rs
@@ -4,14 +4,14 @@
 
 use std::time::Duration;
 
-use amaranthscale_core::id::ServerLife;
+use amaranthscale_core::id::ServerIncarnation;
 use amaranthscale_core::process::{LimitWords, ServerLimit};
 
 const fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn server() -> ServerLife {
+fn server() -> ServerIncarnation {
     "a@1".parse().unwrap()
 }
 
@@ -124,7 +124,7 @@
 /// Guards against a removed row that was not told, as while the store had lost its history.
 #[test]
 fn a_whole_table_ends_what_it_leaves_out_but_not_an_own_word() {
-    let other: ServerLife = "b@1".parse().unwrap();
+    let other: ServerIncarnation = "b@1".parse().unwrap();
     let mut words = with_own_word();
     words.stored(&server(), Some(limit("2")));
     words.told(&other, Some(limit("3")), at(1_100));
--- a/crates/core/tests/placement_plan.rs
+++ b/crates/core/tests/placement_plan.rs
@@ -6,7 +6,7 @@
 use amaranthscale_core::id::{HostId, ModelId, ServiceId};
 use amaranthscale_core::unit::SidecarClock;
 use amaranthscale_core::version::{
-    Assignment, LoadTrack, MAX_REPLICAS, PlanLimits, PlanQuestion, PlannedPlacement, Service,
+    Assignment, LoadTracker, MAX_REPLICAS, PlanInput, PlanLimits, PlannedPlacement, Service,
     SettingsTree, TreeEdit, plan_placement,
 };
 use amaranthscale_core::wire::{HostList, HostRecord, HostState};
@@ -23,7 +23,7 @@
     services: BTreeMap<ServiceId, Service>,
     hosts: HostList,
     current: BTreeMap<HostId, Assignment>,
-    loads: LoadTrack,
+    loads: LoadTracker,
     now: SidecarClock,
 }
 
@@ -34,7 +34,7 @@
             services: BTreeMap::new(),
             hosts: HostList::default(),
             current: BTreeMap::new(),
-            loads: LoadTrack::new(PATIENCE),
+            loads: LoadTracker::new(PATIENCE),
             now: SidecarClock::default(),
         };
         world.hosts.hosts = (0..engines).map(engine).collect();
@@ -52,7 +52,7 @@
 
     /// Plans, and puts the plan in force.
     fn plan(&mut self, limits: PlanLimits) -> PlannedPlacement {
-        let planned = plan_placement(&PlanQuestion {
+        let planned = plan_placement(&PlanInput {
             services: &self.services,
             hosts: &self.hosts,
             current: &self.current,
@@ -61,13 +61,13 @@
             limits,
         });
         self.current.clone_from(&planned.assignments);
-        self.loads.follow(&self.current, self.now);
+        self.loads.set_placement(&self.current, self.now);
         planned
     }
 
     fn load_all(&mut self) {
         for (host, assignment) in &self.current {
-            self.loads.reported(host, assignment);
+            self.loads.observe_running(host, assignment);
         }
     }
 
@@ -279,7 +279,7 @@
                 let running = world.current.get(&host(number)).cloned();
                 world
                     .loads
-                    .reported(&host(number), &running.unwrap_or_default());
+                    .observe_running(&host(number), &running.unwrap_or_default());
             }
         }
         let before = world.current.clone();
--- a/crates/core/tests/placement_planners.rs
+++ b/crates/core/tests/placement_planners.rs
@@ -9,7 +9,7 @@
 use amaranthscale_core::unit::SidecarClock;
 use amaranthscale_core::version::{
     Assignment, ConditionalWrite, EngineOrders, LEASE_KEY, PLACEMENT_HEAD_KEY, PLACEMENT_KEY,
-    Placement, PlacementOffer, PlannerLease, WriteEvent, WriteStep, placement_write,
+    Placement, PlacementUpdate, PlannerLease, WriteEvent, WriteStep, placement_write,
     read_placement_head,
 };
 use amaranthscale_core::wire::{Row, Transaction, TransactionReply};
@@ -209,13 +209,16 @@
     // An engine unloads the model it has just loaded. Two answers of the table overtake each other
     // and the sidecar follows the older one last.
     let mut orders = EngineOrders::new(host(0), RETRY);
-    assert_eq!(orders.offer(&placement(5, "new")), PlacementOffer::Taken);
+    assert_eq!(
+        orders.observe(&placement(5, "new")),
+        PlacementUpdate::Applied
+    );
     let order = orders.next(millis(0)).expect("an order is due");
     orders.confirmed(order.number);
 
-    let offer = orders.offer(&placement(4, "old"));
+    let offer = orders.observe(&placement(4, "old"));
 
-    assert_eq!(offer, PlacementOffer::NotNewer);
+    assert_eq!(offer, PlacementUpdate::NotNewer);
     assert_eq!(orders.next(millis(1)), None);
 }
 
@@ -224,11 +227,11 @@
     let mut orders = EngineOrders::new(host(0), RETRY);
     assert_eq!(orders.next(millis(1)), None);
 
-    orders.offer(&placement(2, "m"));
+    orders.observe(&placement(2, "m"));
 
     let order = orders.next(millis(2)).expect("an order is due");
     assert_eq!(order.number, PlacementVersion::new(2));
-    assert!(!order.replaces_silent);
+    assert!(!order.replaces_unanswered);
 }
 
 #[test]
@@ -236,14 +239,14 @@
     // An engine ends with the older of two placements. It is slow with one order, gets the next
     // meanwhile, and carries them out in the wrong order.
     let mut orders = EngineOrders::new(host(0), RETRY);
-    orders.offer(&placement(1, "old"));
+    orders.observe(&placement(1, "old"));
     let first = orders.next(millis(0)).expect("an order is due");
-    orders.offer(&placement(2, "new"));
+    orders.observe(&placement(2, "new"));
 
     assert_eq!(orders.next(millis(19)), None);
     let second = orders.next(millis(20)).expect("the engine was silent");
 
-    assert!(second.replaces_silent);
+    assert!(second.replaces_unanswered);
     assert_eq!(second.number, PlacementVersion::new(2));
     orders.confirmed(first.number);
     assert_eq!(
@@ -258,7 +261,7 @@
 #[test]
 fn a_refused_order_waits_before_it_is_repeated() {
     let mut orders = EngineOrders::new(host(0), RETRY);
-    orders.offer(&placement(1, "m"));
+    orders.observe(&placement(1, "m"));
     let order = orders.next(millis(0)).expect("an order is due");
 
     orders.refused(order.number, millis(1));
@@ -272,11 +275,11 @@
     // Requests for a loaded model fail. The engine restarted by itself and runs nothing, while the
     // sidecar remembers that its order was carried out.
     let mut orders = EngineOrders::new(host(0), RETRY);
-    orders.offer(&placement(1, "m"));
+    orders.observe(&placement(1, "m"));
     let order = orders.next(millis(0)).expect("an order is due");
     orders.confirmed(order.number);
 
-    orders.reported(Assignment::default());
+    orders.observe_running(Assignment::default());
 
     assert!(orders.next(millis(1)).is_some());
 }
@@ -313,7 +316,7 @@
                 reads.push(table.row(PLACEMENT_KEY));
             }
             4 => {
-                orders.offer(&reads[pick % reads.len()].clone());
+                orders.observe(&reads[pick % reads.len()].clone());
             }
             _ => {
                 if let Some(order) = orders.next(now) {
--- a/crates/core/tests/policy_admission.rs
+++ b/crates/core/tests/policy_admission.rs
@@ -11,7 +11,7 @@
     Admission, AttainmentBook, CostBook, HedgePolicy, OrganisationLimits, RetryBudget,
     StageEstimate, sum_by_organisation,
 };
-use amaranthscale_core::unit::{Budget, Class, RatePerSecond};
+use amaranthscale_core::unit::{Class, RatePerSecond, TimeBudget};
 use amaranthscale_core::wire::{Row, RowWrite, StageCost};
 
 fn organisation(name: &str) -> OrganisationId {
@@ -36,7 +36,7 @@
         queue_ms: 700,
         service_ms: 400,
     }];
-    let budget = Budget::from_millis(1_000);
+    let budget = TimeBudget::from_millis(1_000);
 
     let waits: Vec<u64> = (0..200)
         .map(|_| {
@@ -62,7 +62,7 @@
         queue_ms: 100,
         service_ms: 400,
     }; 2];
-    let budget = Budget::from_millis(1_100);
+    let budget = TimeBudget::from_millis(1_100);
 
     let paid = admission.decide(budget, &stages, Class::Paid, Duration::ZERO);
     let trial = admission.decide(budget, &stages, Class::Trial, Duration::ZERO);
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use amaranthscale_core::id::{EvidenceId, RequestFingerprint, ServerLife};
+use amaranthscale_core::id::{EvidenceId, RequestFingerprint, ServerIncarnation};
 use amaranthscale_core::process::{
     CrashEvidence, LossStep, LostRuns, Quarantine, QuarantineChange, Verdict,
 };
@@ -16,7 +16,7 @@
     RequestFingerprint::of(None, "h.example", name, b"")
 }
 
-fn server(number: usize) -> ServerLife {
+fn server(number: usize) -> ServerIncarnation {
     format!("s{number}").parse().unwrap()
 }
 
--- a/crates/core/tests/random_protocol/entries.rs
+++ b/crates/core/tests/random_protocol/entries.rs
@@ -2,7 +2,7 @@
 
 use amaranthscale_core::id::{AttemptId, AttemptNumber, RequestId, RowVersion, StageIndex};
 use amaranthscale_core::request::{
-    AttemptFate, ClaimReading, StoredResult, attempt_fate, cancel_write, mark_unknown_write,
+    AttemptStatus, ClaimStatus, StoredResult, attempt_status, cancel_write, mark_unknown_write,
     read_claim,
 };
 use amaranthscale_core::unit::SidecarClock;
@@ -131,13 +131,13 @@
             .ticket
             .as_ref()
             .map_or(RowVersion::default(), |t| t.version);
-        let fate = attempt_fate(row, order.attempt, carried);
+        let fate = attempt_status(row, order.attempt, carried);
         assert_ne!(
             fate,
-            AttemptFate::MayStart,
+            AttemptStatus::MayStart,
             "a settled write shows a later row"
         );
-        if fate == AttemptFate::NeverRan {
+        if fate == AttemptStatus::NeverRan {
             self.called_not_run.insert(order.attempt);
         }
         Phase::Idle
@@ -147,7 +147,7 @@
         let call = self.askers[asker].call;
         let fingerprint = fingerprint(call);
         match read_claim(row, &fingerprint) {
-            ClaimReading::Free { version } => {
+            ClaimStatus::Free { version } => {
                 let key = claim_key(call);
                 self.dispatch(
                     asker,
@@ -158,7 +158,7 @@
                     }),
                 )
             }
-            ClaimReading::Started {
+            ClaimStatus::Started {
                 host: name,
                 incarnation,
                 attempt,
@@ -182,18 +182,18 @@
                     ticket,
                 })
             }
-            ClaimReading::Finished { result, .. } => {
+            ClaimStatus::Finished { result, .. } => {
                 let StoredResult::Inline(result) = result else {
                     panic!("results are inline here");
                 };
                 self.complete(call, &result);
                 Phase::Done
             }
-            ClaimReading::Unknown => {
+            ClaimStatus::Unknown => {
                 self.tally.unknown += 1;
                 Phase::Done
             }
-            reading @ (ClaimReading::KeyReused | ClaimReading::Corrupt) => {
+            reading @ (ClaimStatus::KeyReused | ClaimStatus::Corrupt) => {
                 self.mixed_up = Some(format!("call {call} reads {reading:?}"));
                 Phase::Done
             }
--- a/crates/core/tests/random_protocol/world.rs
+++ b/crates/core/tests/random_protocol/world.rs
@@ -13,7 +13,8 @@
 use amaranthscale_core::unit::SidecarClock;
 use amaranthscale_core::version::{ConditionalWrite, WriteEvent};
 use amaranthscale_core::wire::{
-    ClaimKey, ClaimTicket, Fingerprint, Outcome, RevokeAnswer, Row, Transaction, TransactionReply,
+    CallFingerprint, ClaimKey, ClaimTicket, Outcome, RevokeAnswer, Row, Transaction,
+    TransactionReply,
 };
 use quickcheck::{Arbitrary as _, Gen};
 
@@ -385,8 +386,8 @@
     }
 }
 
-pub fn fingerprint(call: usize) -> Fingerprint {
-    Fingerprint::of("/settle", call.to_string())
+pub fn fingerprint(call: usize) -> CallFingerprint {
+    CallFingerprint::of("/settle", call.to_string())
 }
 
 pub fn result_of(call: usize) -> Vec<u8> {
--- a/crates/core/tests/random_protocol_wire.rs
+++ b/crates/core/tests/random_protocol_wire.rs
@@ -6,7 +6,7 @@
 use amaranthscale_core::version::Envelope;
 use amaranthscale_core::wire::{
     Dispatch, Fetch, Frame, Hello, HostList, Outcome, Revoke, RevokeReply, Row, Stamp, Transaction,
-    TransactionReply, TreeReply, TreeSince, decode, encode,
+    TransactionReply, TreeReply, TreeRequest, decode, encode,
 };
 use quickcheck::{Arbitrary as _, Gen};
 use serde::de::DeserializeOwned;
@@ -28,7 +28,7 @@
         accepts::<Transaction>(bytes),
         accepts::<TransactionReply>(bytes),
         accepts::<TreeReply>(bytes),
-        accepts::<TreeSince>(bytes),
+        accepts::<TreeRequest>(bytes),
     ];
     outcomes.into_iter().filter(|accepted| *accepted).count()
 }
@@ -46,7 +46,7 @@
             from: host.clone(),
             tree_version: version,
         }),
-        encode(&TreeSince {
+        encode(&TreeRequest {
             from: host,
             version,
         }),
--- a/crates/core/tests/routing_look_up.rs
+++ b/crates/core/tests/routing_look_up.rs
@@ -14,7 +14,7 @@
         prefix: prefix.to_owned(),
         kind: RouteKind::Idempotent,
         timeout: Duration::from_secs(1),
-        aim: Duration::from_millis(100),
+        target_latency: Duration::from_millis(100),
         priority: 0,
         services: vec![("scale".parse().unwrap(), 1)],
         max_attempts: 2,
@@ -58,7 +58,7 @@
     };
     let routing = routing().with_holders([holder]);
 
-    assert!(routing.is_keyed());
+    assert!(routing.requires_keys());
     assert_eq!(
         routing.holder("k-two").unwrap().organisation.as_str(),
         "north"
--- a/crates/core/tests/send_share.rs
+++ b/crates/core/tests/send_share.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use amaranthscale_core::id::ServerLife;
+use amaranthscale_core::id::ServerIncarnation;
 use amaranthscale_core::process::{ColdBounds, ColdSpec, RecentSends, SendShare};
 use entries::{Numbers, address, addresses, life};
 
@@ -134,7 +134,7 @@
     }
 
     /// Hears of so many entries.
-    fn hear(&mut self, server: &ServerLife, most_per_s: f64, known: usize) {
+    fn hear(&mut self, server: &ServerIncarnation, most_per_s: f64, known: usize) {
         if self.known != known {
             let own = address(self.index);
             let all = addresses(known);
@@ -144,7 +144,7 @@
     }
 
     /// Sends what it may of what waits; says how much.
-    fn turn(&mut self, server: &ServerLife, now: Duration) -> usize {
+    fn turn(&mut self, server: &ServerIncarnation, now: Duration) -> usize {
         self.queue.push_back(now);
         if self.frozen_until > now || now.saturating_sub(self.started) < SECOND {
             return 0;
--- a/crates/core/tests/spec_limits.rs
+++ b/crates/core/tests/spec_limits.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use amaranthscale_core::id::ServerLife;
+use amaranthscale_core::id::ServerIncarnation;
 use amaranthscale_core::process::{LimitWords, RecentSends, SendBound, SendShare, ServerLimit};
 
 const ENTRIES: usize = 2;
@@ -74,7 +74,7 @@
     entries: Vec<Entry>,
 }
 
-fn life() -> ServerLife {
+fn life() -> ServerIncarnation {
     "a".parse().unwrap()
 }
 
--- a/crates/core/tests/spec_withheld.rs
+++ b/crates/core/tests/spec_withheld.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use amaranthscale_core::id::{RowVersion, ServerLife};
+use amaranthscale_core::id::{RowVersion, ServerIncarnation};
 use amaranthscale_core::process::{
     ColdTerms, RecentSends, SendShare, ServerChange, ServerList, ServerRecord, ServerUse,
     ZoneChange, ZoneState,
@@ -85,7 +85,7 @@
     entries: Vec<Entry>,
 }
 
-fn life() -> ServerLife {
+fn life() -> ServerIncarnation {
     "a".parse().unwrap()
 }
 
--- a/crates/core/tests/support/entries.rs
+++ b/crates/core/tests/support/entries.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use amaranthscale_core::id::ServerLife;
+use amaranthscale_core::id::ServerIncarnation;
 
 pub fn address(index: usize) -> SocketAddr {
     format!("10.{}.{}.1:7740", index / 250, index % 250)
@@ -14,7 +14,7 @@
     (0..count).map(address).collect()
 }
 
-pub fn life(index: usize) -> ServerLife {
+pub fn life(index: usize) -> ServerIncarnation {
     format!("server-{index}").parse().unwrap()
 }
 
--- a/crates/core/tests/table_copy.rs
+++ b/crates/core/tests/table_copy.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use amaranthscale_core::id::RowVersion;
-use amaranthscale_core::version::{TableCopy, TableNews};
+use amaranthscale_core::version::{TableChanges, TableCopy};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 /// Runs of random writes; each is a table, its copy, and a copy of that copy.
@@ -58,22 +58,22 @@
 
 impl Hand {
     fn rows(&self) -> Rows {
-        match self.copy.since(RowVersion::new(0)) {
-            TableNews::All(rows) => rows
+        match self.copy.changes_since(RowVersion::new(0)) {
+            TableChanges::Full(rows) => rows
                 .into_iter()
                 .map(|(key, value, version)| (key, (value, version)))
                 .collect(),
-            TableNews::Changed(rows) => rows
+            TableChanges::Incremental(rows) => rows
                 .into_iter()
                 .filter_map(|(key, value, version)| Some((key, (value?, version))))
                 .collect(),
         }
     }
 
-    fn take(&mut self, news: TableNews<u32>, version: RowVersion, clock: Duration) {
+    fn take(&mut self, news: TableChanges<u32>, version: RowVersion, clock: Duration) {
         match news {
-            TableNews::All(rows) => self.copy.replace(rows, version, clock),
-            TableNews::Changed(rows) => self.copy.change(rows, version, clock),
+            TableChanges::Full(rows) => self.copy.replace(rows, version, clock),
+            TableChanges::Incremental(rows) => self.copy.change(rows, version, clock),
         }
         self.is_begun = true;
     }
@@ -87,9 +87,9 @@
     let news = if !hand.is_begun || forgets {
         let rows = store.rows.iter();
         let rows = rows.map(|(key, (value, version))| (key.clone(), *value, *version));
-        TableNews::All(rows.collect())
+        TableChanges::Full(rows.collect())
     } else {
-        TableNews::Changed(store.since(hand.copy.version()))
+        TableChanges::Incremental(store.since(hand.copy.version()))
     };
     hand.take(news, store.version(), clock);
 }
@@ -103,7 +103,7 @@
         match pick(&mut random, 8) {
             0 => read_store(&store, &mut first, pick(&mut random, 6) == 0, clock),
             1 if first.is_begun => {
-                let news = first.copy.since(second.copy.version());
+                let news = first.copy.changes_since(second.copy.version());
                 second.take(news, first.copy.version(), first.copy.clock());
                 assert_eq!(second.rows(), first.rows(), "seed {seed}, step {step}");
                 assert_eq!(second.copy.clock(), first.copy.clock());
@@ -163,9 +163,9 @@
         );
     }
 
-    let long_away = copy.since(RowVersion::new(2));
-    let just_here = copy.since(RowVersion::new(5_998));
+    let long_away = copy.changes_since(RowVersion::new(2));
+    let just_here = copy.changes_since(RowVersion::new(5_998));
 
-    assert!(matches!(long_away, TableNews::All(rows) if rows.len() == 1));
-    assert!(matches!(just_here, TableNews::Changed(rows) if rows.len() == 1));
+    assert!(matches!(long_away, TableChanges::Full(rows) if rows.len() == 1));
+    assert!(matches!(just_here, TableChanges::Incremental(rows) if rows.len() == 1));
 }
--- a/crates/core/tests/tree_log.rs
+++ b/crates/core/tests/tree_log.rs
@@ -8,7 +8,7 @@
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::id::TreeVersion;
 use amaranthscale_core::version::{
-    EditRecord, SettingsTree, Taken, TreeEdit, TreeLog, TreeLogError,
+    EditRecord, SettingsTree, TreeEdit, TreeLog, TreeLogError, TreeUpdate,
 };
 use amaranthscale_core::wire::TreeReply;
 
@@ -28,7 +28,7 @@
 fn log_at(version: u64) -> TreeLog {
     let mut log = TreeLog::new(SettingsTree::empty()).unwrap();
     for next in 1..=version {
-        log.take_record(weight_edit(next)).unwrap();
+        log.apply_record(weight_edit(next)).unwrap();
     }
     log
 }
@@ -54,12 +54,14 @@
     let ahead = log_at(5);
     let mut behind = log_at(2);
 
-    let taken = behind.take(ahead.since(behind.version())).unwrap();
+    let taken = behind
+        .apply_reply(ahead.changes_since(behind.version()))
+        .unwrap();
 
     let (from, to) = (TreeVersion::new(2), TreeVersion::new(5));
-    assert_eq!(taken, Taken::Newer { from, to });
+    assert_eq!(taken, TreeUpdate::Updated { from, to });
     assert_eq!(behind.current().tree(), ahead.current().tree());
-    assert_eq!(ahead.since(to), TreeReply::UpToDate(to));
+    assert_eq!(ahead.changes_since(to), TreeReply::UpToDate(to));
 }
 
 #[test]
@@ -67,14 +69,14 @@
     let ahead = log_at(9).keeping_edits(3);
     let mut behind = log_at(2);
 
-    let reply = ahead.since(behind.version());
-    behind.take(reply.clone()).unwrap();
+    let reply = ahead.changes_since(behind.version());
+    behind.apply_reply(reply.clone()).unwrap();
 
     assert!(matches!(reply, TreeReply::Whole { .. }));
     assert_eq!(behind.version(), TreeVersion::new(9));
-    let from_behind = behind.since(TreeVersion::new(8));
+    let from_behind = behind.changes_since(TreeVersion::new(8));
     assert!(matches!(from_behind, TreeReply::Whole { .. }));
-    let from_ahead = ahead.since(TreeVersion::new(6));
+    let from_ahead = ahead.changes_since(TreeVersion::new(6));
     assert!(matches!(from_ahead, TreeReply::Edits { .. }));
 }
 
@@ -85,7 +87,7 @@
 fn an_older_tree_or_edit_is_never_taken() {
     let mut log = log_at(6);
     let paused = log_at(3).keeping_edits(0);
-    let old_tree = paused.since(TreeVersion::default());
+    let old_tree = paused.changes_since(TreeVersion::default());
     let old_edits = edits([weight_edit(2), weight_edit(3)]);
 
     let replies = [
@@ -93,9 +95,9 @@
         old_edits,
         TreeReply::UpToDate(TreeVersion::new(3)),
     ];
-    let taken = replies.map(|reply| log.take(reply).unwrap());
+    let taken = replies.map(|reply| log.apply_reply(reply).unwrap());
 
-    assert_eq!(taken, [Taken::Nothing; 3]);
+    assert_eq!(taken, [TreeUpdate::Unchanged; 3]);
     assert_eq!(log.version(), TreeVersion::new(6));
     assert_eq!(root_weight(&log), 6);
 }
@@ -106,9 +108,9 @@
 fn nothing_is_taken_across_a_gap() {
     let mut log = log_at(3);
 
-    let alone = log.take(edits([weight_edit(5)])).unwrap_err();
+    let alone = log.apply_reply(edits([weight_edit(5)])).unwrap_err();
     let later = log
-        .take(edits([weight_edit(4), weight_edit(6)]))
+        .apply_reply(edits([weight_edit(4), weight_edit(6)]))
         .unwrap_err();
 
     let gap = |have, got| TreeLogError::Gap(TreeVersion::new(have), TreeVersion::new(got));
@@ -124,7 +126,7 @@
     let mut other = weight_edit(3);
     other.write_id = "another".parse().unwrap();
 
-    let error = log.take(edits([other])).unwrap_err();
+    let error = log.apply_reply(edits([other])).unwrap_err();
 
     assert!(matches!(error, TreeLogError::Diverged(..)), "{error}");
 }
@@ -135,7 +137,9 @@
     let tree = SettingsTree::empty().to_json();
     let version = TreeVersion::new(7);
 
-    let error = log.take(TreeReply::Whole { version, tree }).unwrap_err();
+    let error = log
+        .apply_reply(TreeReply::Whole { version, tree })
+        .unwrap_err();
 
     assert!(
         matches!(error, TreeLogError::VersionMismatch(..)),
--- a/crates/core/tests/tree_random.rs
+++ b/crates/core/tests/tree_random.rs
@@ -107,8 +107,8 @@
             let ahead = &logs[usize::from(ahead) % logs.len()];
             let since = TreeVersion::new(u64::from(since) % 8);
             let kept = if is_whole { 0 } else { 256 };
-            let reply = ahead.clone().keeping_edits(kept).since(since);
-            let _ = log.take(reply);
+            let reply = ahead.clone().keeping_edits(kept).changes_since(since);
+            let _ = log.apply_reply(reply);
             assert!(log.version() >= before);
             let step = usize::try_from(log.version().get()).unwrap();
             assert_eq!(log.current().tree(), logs[step].current().tree());
@@ -129,7 +129,7 @@
             by: "a test".into(),
             write_id: format!("write-{}", log.version()).parse().unwrap(),
         };
-        if log.take_record(record).is_ok() {
+        if log.apply_record(record).is_ok() {
             logs.push(log);
         }
     }
--- a/crates/standins/src/policy/bench/entry_side.rs
+++ b/crates/standins/src/policy/bench/entry_side.rs
@@ -5,7 +5,7 @@
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::id::{AttemptId, AttemptNumber, RequestId, StageIndex};
 use amaranthscale_core::process::{Admission, AttemptEnd, Refusal, StageEstimate};
-use amaranthscale_core::unit::Budget;
+use amaranthscale_core::unit::TimeBudget;
 use amaranthscale_core::wire::Stamp;
 use rand::RngExt;
 
@@ -110,7 +110,7 @@
         let spec = &self.deployment.organisations[asked.organisation];
         let entry = &mut self.entries[asked.entry];
         if self.mechanisms.has(Mechanism::Admission) {
-            let budget = Budget::new(asked.deadline.saturating_sub(now));
+            let budget = TimeBudget::new(asked.deadline.saturating_sub(now));
             entry
                 .admission
                 .decide(budget, &estimates, spec.class, now)?;
@@ -201,7 +201,7 @@
         let now = self.agenda.now();
         let asked = &self.requests[request];
         let later = self.estimates(request, asked.stage + 1);
-        let budget = Budget::new(asked.deadline.saturating_sub(now));
+        let budget = TimeBudget::new(asked.deadline.saturating_sub(now));
         now + Admission::stage_budget(budget, &later).duration()
     }
 
