--- a/crates/amaranthscale/src/entry/process/decisions_state.rs
+++ b/crates/amaranthscale/src/entry/process/decisions_state.rs
@@ -7,7 +7,7 @@
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::id::{HostId, Incarnation, OrganisationId, ServiceId, ZoneId};
 use amaranthscale_core::process::{
-    Admission, AttainmentBook, AttainmentCounts, AttemptEnd, CostBook, CostKey, CostTotals,
+    Admission, AttainmentCounts, AttainmentTracker, AttemptEnd, CostKey, CostTotals, CostTracker,
     OrganisationLimits, Refusal, RetryBudget, Router, RouterSettings, StageEstimate,
 };
 use amaranthscale_core::unit::{Class, TimeBudget};
@@ -38,8 +38,8 @@
     retries: RetryBudget,
     hedges: Hedges,
     limits: OrganisationLimits,
-    costs: CostBook,
-    attainment: AttainmentBook,
+    costs: CostTracker,
+    attainment: AttainmentTracker,
     in_flight: u64,
     live_entries: u32,
     hosts: HostList,
@@ -56,8 +56,8 @@
             retries: RetryBudget::new(arguments.retry_percent),
             hedges: Hedges::new(arguments.hedge_percent),
             limits: OrganisationLimits::new(),
-            costs: CostBook::new(arguments.host, Incarnation::new(arguments.seed)),
-            attainment: AttainmentBook::default(),
+            costs: CostTracker::new(arguments.host, Incarnation::new(arguments.seed)),
+            attainment: AttainmentTracker::default(),
             in_flight: 0,
             live_entries: 1,
             hosts: HostList::default(),
--- a/crates/amaranthscale/src/entry/request/hedged_attempt.rs
+++ b/crates/amaranthscale/src/entry/request/hedged_attempt.rs
@@ -100,7 +100,7 @@
     async fn send(&self, mut route: Route) -> Option<EndedAttempt> {
         let mut watch = AttemptWatch::new(self.parts, self.task, &mut route);
         let Some(known) = known_sidecar(self.parts, self.task, &route).await else {
-            watch.ended(AttemptEnd::Silent, None, StageCost::default());
+            watch.ended(AttemptEnd::TimedOut, None, StageCost::default());
             return None;
         };
         let task = self.task;
--- a/crates/amaranthscale/src/entry/request/sent_attempt.rs
+++ b/crates/amaranthscale/src/entry/request/sent_attempt.rs
@@ -114,7 +114,9 @@
                 let stamp = Some(end.stamp.clone());
                 (AttemptEnd::Failed, stamp, end.outcome.cost)
             }
-            AttemptOutcome::Unknown | AttemptOutcome::TimedOut => (AttemptEnd::Silent, None, none),
+            AttemptOutcome::Unknown | AttemptOutcome::TimedOut => {
+                (AttemptEnd::TimedOut, None, none)
+            }
         }
     }
 }
--- a/crates/amaranthscale/src/entry/request/stage_run.rs
+++ b/crates/amaranthscale/src/entry/request/stage_run.rs
@@ -91,7 +91,7 @@
         let mut watch = AttemptWatch::new(self.parts, &self.task, &mut route);
         self.tried.push(route.host.clone());
         let Some(known) = known_sidecar(self.parts, &self.task, &route).await else {
-            watch.ended(AttemptEnd::Silent, None, StageCost::default());
+            watch.ended(AttemptEnd::TimedOut, None, StageCost::default());
             self.last_refusal = Some(Answer::of_code(ResultCode::NoBackendServer));
             return Verdict::TryAgain;
         };
--- a/crates/amaranthscale/src/gateway/connection/server_pool.rs
+++ b/crates/amaranthscale/src/gateway/connection/server_pool.rs
@@ -86,10 +86,10 @@
 impl ServerPool {
     /// A kept connection, or a new one.
     pub async fn connection(&self, server: &ServerRecord) -> Result<ServerConnection, SendError> {
-        if let Some(connection) = self.kept(&server.life) {
+        if let Some(connection) = self.kept(&server.incarnation) {
             return Ok(connection);
         }
-        self.fresh(&server.life, server.address).await
+        self.fresh(&server.incarnation, server.address).await
     }
 
     /// A new connection.
--- a/crates/amaranthscale/src/gateway/daemon.rs
+++ b/crates/amaranthscale/src/gateway/daemon.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use amaranthscale_core::id::ServerIncarnation;
-use amaranthscale_core::process::{BackendChoice, Cell};
+use amaranthscale_core::process::{Cell, ServerSelector};
 use log::info;
 use quick_error::quick_error;
 use tokio::task::JoinHandle;
@@ -205,7 +205,7 @@
     let limits = LimitWatch::new(config.clock, Arc::clone(knowledge), Arc::clone(&counters));
     let limits = Arc::new(limits);
     let arguments = BatchOwnerArguments {
-        cell: Cell::WHOLE,
+        cell: Cell::SINGLE,
         cold: config.cold,
         limits: Arc::clone(&limits),
         knowledge: Arc::clone(knowledge),
@@ -242,7 +242,7 @@
         key_age: config.revoke_bound * KEY_AGE_PERCENT / 100,
         ready_age: config.revoke_bound * READY_AGE_PERCENT / 100,
         behind_after: config.apply_bound * BEHIND_PERCENT / 100,
-        choice: Mutex::new(BackendChoice::default()),
+        choice: Mutex::new(ServerSelector::default()),
     }
 }
 
--- a/crates/amaranthscale/src/gateway/dialect.rs
+++ b/crates/amaranthscale/src/gateway/dialect.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use amaranthscale_core::id::{CallId, ResultHandle};
-use amaranthscale_core::process::{Batch, BatchEnd, InvalidServerLimit, ServerLimit, ToldLoad};
+use amaranthscale_core::process::{Batch, BatchEnd, InvalidServerLimit, ServerLimit, ServerLoad};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{HeaderName, HeaderValue};
@@ -83,7 +83,7 @@
     /// Whether an answer says that a result which the request needs is gone.
     pub is_input_gone: fn(StatusCode) -> bool,
     /// The load that an answer tells.
-    pub told_load: fn(&HeaderMap) -> Option<ToldLoad>,
+    pub told_load: fn(&HeaderMap) -> Option<ServerLoad>,
     /// The limit that an answer names.
     pub named_limit: fn(&HeaderMap) -> Option<Result<ServerLimit, InvalidServerLimit>>,
     /// A call for a batch of pieces.
--- a/crates/amaranthscale/src/gateway/gateway_config.rs
+++ b/crates/amaranthscale/src/gateway/gateway_config.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use amaranthscale_core::id::{InstanceId, ZoneId};
-use amaranthscale_core::process::{Announcement, BudgetTerms, ColdBounds};
+use amaranthscale_core::process::{Announcement, ColdAllowance, RetryBudgetSettings};
 
 use super::{Clock, Dialect, StoreCalls};
 
@@ -34,11 +34,11 @@
     /// Longest time in which all gateways know of a server that crashed.
     pub crash_bound: Duration,
     /// How far cold servers may be used.
-    pub cold: ColdBounds,
+    pub cold: ColdAllowance,
     /// Longest time that a stop may take.
     pub stop_bound: Duration,
     /// Repeats that all gateways together may send to a service.
-    pub budget: BudgetTerms,
+    pub budget: RetryBudgetSettings,
     /// The clocks.
     pub clock: Clock,
     /// How callers and servers speak.
--- a/crates/amaranthscale/src/gateway/process/batch_calls.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_calls.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use amaranthscale_core::process::{
-    Batch, BatchEnd, ConnectionShare, Frees, PieceEnd, ServerRecord, ToldLoad,
+    Batch, BatchEnd, ConnectionShare, FreeRequest, PieceEnd, ServerLoad, ServerRecord,
 };
 use log::{debug, info};
 use tokio::time::Instant;
@@ -36,7 +36,7 @@
 /// Has a batch made; a call without an answer in time counts as lost.
 async fn call_batch(caller: &BatchCaller, batch: &Batch) -> CallEnd {
     let call = call_in_time(caller, batch);
-    tokio::time::timeout(batch.patience, call)
+    tokio::time::timeout(batch.timeout, call)
         .await
         .unwrap_or(LOST)
 }
@@ -45,16 +45,16 @@
 #[derive(Debug)]
 pub(super) struct CallEnd {
     pub(super) end: BatchEnd,
-    pub(super) told: Option<ToldLoad>,
+    pub(super) told: Option<ServerLoad>,
 }
 
 const LOST: CallEnd = CallEnd {
-    end: BatchEnd::Lost,
+    end: BatchEnd::NoAnswer,
     told: None,
 };
 
 const CUT_OFF: CallEnd = CallEnd {
-    end: BatchEnd::CutOff,
+    end: BatchEnd::ConnectionLost,
     told: None,
 };
 
@@ -100,10 +100,10 @@
     let response = connection.send((dialect.batch)(batch)).await?;
     let (head, body) = response.into_parts();
     caller.limits.heard(dialect, &batch.server, &head, sent_at);
-    let body = read_body(body, MAX_ANSWER_BYTES, batch.patience)
+    let body = read_body(body, MAX_ANSWER_BYTES, batch.timeout)
         .await
         .map_err(|error| SendError::Lost(batch.address, error.to_string()))?;
-    pool.give_back(connection, &head.headers, ConnectionShare::WHOLE);
+    pool.give_back(connection, &head.headers, ConnectionShare::UNLIMITED);
     Ok(CallEnd {
         end: (dialect.batch_end)(head.status, &head.headers, &body),
         told: (dialect.told_load)(&head.headers),
@@ -112,7 +112,7 @@
 
 fn server(batch: &Batch) -> ServerRecord {
     ServerRecord {
-        life: batch.server.clone(),
+        incarnation: batch.server.clone(),
         service: batch.service.clone(),
         address: batch.address,
         zone: batch.zone.clone(),
@@ -123,7 +123,7 @@
 }
 
 /// Lets a server drop results.
-pub(super) async fn call_free(dialect: &Dialect, pool: &ServerPool, frees: &Frees) {
+pub(super) async fn call_free(dialect: &Dialect, pool: &ServerPool, frees: &FreeRequest) {
     let call = async {
         let mut connection = match pool.kept(&frees.server) {
             Some(connection) => connection,
@@ -135,7 +135,7 @@
             .await
             .is_ok()
         {
-            pool.give_back(connection, &head.headers, ConnectionShare::WHOLE);
+            pool.give_back(connection, &head.headers, ConnectionShare::UNLIMITED);
         }
         Ok::<(), SendError>(())
     };
@@ -171,18 +171,18 @@
     let ends = match end {
         BatchEnd::Pieces(ends) => ends,
         BatchEnd::NotSent => return BTreeMap::from([("withheld", sent)]),
-        BatchEnd::Full => return BTreeMap::from([("server-full", sent)]),
+        BatchEnd::Rejected => return BTreeMap::from([("server-full", sent)]),
         BatchEnd::OtherServer => return BTreeMap::from([("other-server", sent)]),
-        BatchEnd::Lost => return BTreeMap::from([("lost", sent)]),
-        BatchEnd::CutOff => return BTreeMap::from([("cut-off", sent)]),
+        BatchEnd::NoAnswer => return BTreeMap::from([("lost", sent)]),
+        BatchEnd::ConnectionLost => return BTreeMap::from([("cut-off", sent)]),
     };
     let mut failed = BTreeMap::new();
     for end in ends {
         let name = match end {
-            PieceEnd::Made(_) => continue,
+            PieceEnd::Completed(_) => continue,
             PieceEnd::Late => "late",
-            PieceEnd::InputGone => "input-gone",
-            PieceEnd::NoRoom => "no-room",
+            PieceEnd::InputMissing => "input-gone",
+            PieceEnd::StorageFull => "no-room",
             PieceEnd::Failed => "failed",
         };
         *failed.entry(name).or_default() += 1;
--- a/crates/amaranthscale/src/gateway/process/batch_message.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_message.rs
@@ -4,7 +4,7 @@
 
 use amaranthscale_core::id::{ResultHandle, ServerIncarnation};
 use amaranthscale_core::process::{
-    BatchEnd, BatchId, Frees, JobFailure, JobId, KeptPiece, PipelineOrder, ToldLoad,
+    BatchEnd, BatchId, FreeRequest, JobFailure, JobId, JobSpec, RetainedResult, ServerLoad,
 };
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, oneshot};
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobNews {
     /// Some of its pieces are made.
-    Made(Vec<KeptPiece>),
+    Made(Vec<RetainedResult>),
     /// A call with some of its pieces was cut off at a server.
     CutOff {
         /// The server.
@@ -63,9 +63,9 @@
     /// Ends a job and frees its results.
     Release(JobId),
     /// A call has ended.
-    Ended(BatchId, BatchEnd, Option<ToldLoad>),
+    Ended(BatchId, BatchEnd, Option<ServerLoad>),
     /// A call that frees results has ended.
-    Freed(Frees),
+    Freed(FreeRequest),
     /// Routing or servers have changed.
     Changed,
     /// Looks at what waits; names when that was due.
@@ -78,7 +78,7 @@
 #[derive(Debug)]
 pub struct Submission {
     /// What is to be made.
-    pub order: PipelineOrder,
+    pub order: JobSpec,
     /// Tells the sender the job's id at once.
     pub id: oneshot::Sender<JobId>,
     /// Tells what becomes of it by and by.
--- a/crates/amaranthscale/src/gateway/process/batch_owner.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_owner.rs
@@ -9,8 +9,8 @@
 
 use amaranthscale_core::id::{CallId, ServerIncarnation};
 use amaranthscale_core::process::{
-    Batcher, Cell, ColdBounds, JobEvent, JobFailure, JobId, JobRefused, KeepingUp, Pace, ServerUse,
-    StageTimes,
+    Batcher, Cell, ColdAllowance, JobEvent, JobFailure, JobId, JobRefusal, LagChange, LagDetector,
+    ServerAvailability, StageTimes,
 };
 use log::{info, warn};
 use ractor::{Actor, ActorProcessingErr, ActorRef};
@@ -48,7 +48,7 @@
     /// Routing and servers.
     pub knowledge: Arc<Knowledge>,
     /// How far cold servers may be used.
-    pub cold: ColdBounds,
+    pub cold: ColdAllowance,
     /// Connections to stage servers.
     pub pool: Arc<ServerPool>,
     /// How stage servers are called.
@@ -69,7 +69,7 @@
     waiting: BTreeMap<JobId, Waiting>,
     freeing: BTreeSet<ServerIncarnation>,
     next_look: Option<NextLook>,
-    keeping_up: KeepingUp,
+    keeping_up: LagDetector,
     is_stopping: bool,
 }
 
@@ -104,7 +104,7 @@
             waiting: BTreeMap::new(),
             freeing: BTreeSet::new(),
             next_look: None,
-            keeping_up: KeepingUp::default(),
+            keeping_up: LagDetector::default(),
             is_stopping: false,
         };
         state.take_servers();
@@ -130,7 +130,7 @@
             BatchOwnerMessage::Changed => state.take_servers(),
             BatchOwnerMessage::Freed(frees) => {
                 state.freeing.remove(&frees.server);
-                state.batcher.freed(&frees);
+                state.batcher.results_freed(&frees);
             }
             BatchOwnerMessage::Look(due) => {
                 state.look(&myself, due, now);
@@ -159,7 +159,7 @@
         self.send_batches(myself, now);
         self.tell();
         self.hand_over();
-        if self.batcher.jobs() > 0 {
+        if self.batcher.job_count() > 0 {
             // Ends with the last job, so an idle owner does not wake up.
             self.look_within(myself, TICK);
         }
@@ -180,16 +180,16 @@
     fn note_pace(&mut self, due: Instant, now: Duration) {
         let late = due.elapsed();
         self.arguments.latencies.record("owner.late", late);
-        let Some(pace) = self.keeping_up.came(now.saturating_sub(late), now) else {
+        let Some(pace) = self.keeping_up.observe(now.saturating_sub(late), now) else {
             return;
         };
-        let (jobs, waiting) = (self.batcher.jobs(), self.batcher.waiting());
+        let (jobs, waiting) = (self.batcher.job_count(), self.batcher.queued_stages());
         match pace {
-            Pace::FellBehind => {
+            LagChange::FellBehind => {
                 self.arguments.counters.count("owner.behind");
                 warn!(late_ms = ms(late), jobs, waiting; "batches: behind, taking no more");
             }
-            Pace::CaughtUp => info!(jobs, waiting; "batches: in time again"),
+            LagChange::CaughtUp => info!(jobs, waiting; "batches: in time again"),
         }
     }
 
@@ -214,9 +214,9 @@
             return;
         }
         let queued = arrived.elapsed();
-        order.aim_left = order.aim_left.saturating_sub(queued);
+        order.target_latency_left = order.target_latency_left.saturating_sub(queued);
         order.deadline_left = order.deadline_left.saturating_sub(queued);
-        let (call, kept) = (order.call.clone(), order.kept.len());
+        let (call, kept) = (order.call.clone(), order.retained.len());
         if kept > 0 {
             self.arguments
                 .counters
@@ -224,7 +224,7 @@
             info!(call = call.as_str(), kept; "batches: job of an earlier owner");
         }
         let taken = if self.keeping_up.is_behind() {
-            Err(JobRefused {
+            Err(JobRefusal {
                 retry_after: BEHIND_RETRY,
                 reason: JobFailure::Overloaded,
             })
@@ -249,7 +249,7 @@
             Err(refused) => {
                 info!(
                     call = call.as_str(), reason:% = refused.reason,
-                    waiting = self.batcher.waiting();
+                    waiting = self.batcher.queued_stages();
                     "batches: job refused"
                 );
                 let _ = news.send(JobNews::Ended(refusal(refused)));
@@ -276,7 +276,7 @@
         let bounds = self.arguments.cold;
         let with_use = own.into_iter().map(|server| {
             let terms = routing.cold_terms(&server.service, bounds);
-            (server, servers.use_of_listed(server, terms, now))
+            (server, servers.availability_of(server, terms, now))
         });
         self.batcher.set_servers(&routing, with_use, now);
     }
@@ -289,11 +289,14 @@
         let freeing = &self.freeing;
         let servers = self.arguments.knowledge.servers();
         let takes_none = |life: &ServerIncarnation| {
-            let server_use = servers.use_of(life, None, Duration::ZERO);
-            matches!(server_use, ServerUse::Evacuated | ServerUse::Limited { .. })
+            let server_use = servers.availability(life, None, Duration::ZERO);
+            matches!(
+                server_use,
+                ServerAvailability::Evacuated | ServerAvailability::Limited { .. }
+            )
         };
         let is_wanted = |life: &ServerIncarnation| !freeing.contains(life) && !takes_none(life);
-        for frees in self.batcher.take_frees(is_wanted) {
+        for frees in self.batcher.take_free_requests(is_wanted) {
             self.freeing.insert(frees.server.clone());
             let myself = myself.clone();
             let pool = Arc::clone(&self.arguments.pool);
@@ -330,15 +333,15 @@
     fn tell(&mut self) {
         for event in self.batcher.take_events() {
             let (job, answer) = match event {
-                JobEvent::Made(job, pieces) => {
+                JobEvent::ResultsStored(job, pieces) => {
                     self.tell_news(job, JobNews::Made(pieces));
                     continue;
                 }
-                JobEvent::CutOff(job, server, address) => {
+                JobEvent::ConnectionLost(job, server, address) => {
                     self.tell_news(job, JobNews::CutOff { server, address });
                     continue;
                 }
-                JobEvent::Dropped(job, stage) => {
+                JobEvent::ResultsDropped(job, stage) => {
                     self.tell_news(job, JobNews::Dropped(stage));
                     continue;
                 }
@@ -383,13 +386,13 @@
         };
         let ms = ms(waiting.taken_at.elapsed());
         info!(
-            call = waiting.call.as_str(), reason:% = failure, waiting = self.batcher.waiting(), ms;
+            call = waiting.call.as_str(), reason:% = failure, waiting = self.batcher.queued_stages(), ms;
             "batches: job given up"
         );
     }
 }
 
-fn refusal(refused: JobRefused) -> JobAnswer {
+fn refusal(refused: JobRefusal) -> JobAnswer {
     JobAnswer::Refused {
         retry_after_ms: ms(refused.retry_after),
         reason: refused.reason,
--- a/crates/amaranthscale/src/gateway/process/batch_owner_handle.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_owner_handle.rs
@@ -1,6 +1,6 @@
 //! Gives jobs to the owner of the batches in this process.
 
-use amaranthscale_core::process::{JobId, PipelineOrder};
+use amaranthscale_core::process::{JobId, JobSpec};
 use ractor::ActorRef;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
@@ -58,7 +58,7 @@
     }
 
     /// Has a request's pieces made; the results are kept until the job is dropped.
-    pub async fn run(&self, order: PipelineOrder, source: JobSource) -> RunningJob {
+    pub async fn run(&self, order: JobSpec, source: JobSource) -> RunningJob {
         let (id, job) = oneshot::channel();
         let (sender, news) = mpsc::unbounded_channel();
         let submit = BatchOwnerMessage::Submit(Submission {
--- a/crates/amaranthscale/src/gateway/process/batch_owners.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_owners.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use amaranthscale_core::process::{Cell, PipelineOrder};
+use amaranthscale_core::process::{Cell, JobSpec};
 use log::{error, info};
 use ractor::Actor;
 
@@ -41,7 +41,7 @@
     }
 
     /// Has a request's pieces made by its cell; the results are kept until the job is dropped.
-    pub async fn run(&self, order: PipelineOrder, source: JobSource) -> RunningJob {
+    pub async fn run(&self, order: JobSpec, source: JobSource) -> RunningJob {
         match self.owner(order.cell, source).await {
             Some(owner) => owner.run(order, source).await,
             None => RunningJob::none(),
@@ -70,7 +70,7 @@
         let cell = if cell.is_well_formed() {
             cell
         } else {
-            Cell::WHOLE
+            Cell::SINGLE
         };
         if self.state().is_stopping && source == JobSource::Peer {
             return None;
--- a/crates/amaranthscale/src/gateway/process/bounded_servers.rs
+++ b/crates/amaranthscale/src/gateway/process/bounded_servers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use amaranthscale_core::id::ServerIncarnation;
-use amaranthscale_core::process::{ColdBounds, RecentSends, SendBound, SendShare};
+use amaranthscale_core::process::{ColdAllowance, RecentSends, SendRateLimit, SendShare};
 
 /// Time after a start in which nothing is sent to such servers: an earlier life at the address may
 /// have used its share just before it ended.
@@ -15,7 +15,7 @@
 /// Shares of cold and limited servers, and what was sent by them.
 #[derive(Debug)]
 pub struct BoundedServers {
-    bounds: ColdBounds,
+    bounds: ColdAllowance,
     started: Duration,
     state: Mutex<State>,
 }
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone)]
 pub struct ShareBasis {
     /// What bounds the sum of all gateways' sends to the server.
-    pub bound: SendBound,
+    pub bound: SendRateLimit,
     /// Servers of its service.
     pub servers: usize,
     /// This gateway's address, by which the others know it.
@@ -49,7 +49,7 @@
 impl BoundedServers {
     /// No sends yet, by a process that started at a time.
     #[must_use]
-    pub fn new(bounds: ColdBounds, started: Duration) -> Self {
+    pub fn new(bounds: ColdAllowance, started: Duration) -> Self {
         Self {
             bounds,
             started,
@@ -59,7 +59,7 @@
 
     /// How far operators let cold servers be used.
     #[must_use]
-    pub const fn bounds(&self) -> ColdBounds {
+    pub const fn bounds(&self) -> ColdAllowance {
         self.bounds
     }
 
@@ -67,14 +67,14 @@
     pub fn has_place(&self, server: &ServerIncarnation, basis: &ShareBasis, now: Duration) -> bool {
         let mut state = self.state();
         let share = self.share(&mut state, server, basis, now);
-        state.sends.has_place(server, share, now)
+        state.sends.can_choose(server, share, now)
     }
 
     /// Counts a choice of a server.
     pub fn chosen(&self, server: &ServerIncarnation, basis: &ShareBasis, now: Duration) {
         let mut state = self.state();
         let share = self.share(&mut state, server, basis, now);
-        state.sends.chosen(server, share, now);
+        state.sends.record_choice(server, share, now);
     }
 
     /// Takes one send that is about to leave; false if this gateway's share is used up.
@@ -93,12 +93,12 @@
     ) -> Option<Duration> {
         let mut state = self.state();
         let share = self.share(&mut state, server, basis, now);
-        state.sends.next_place(server, share, now)
+        state.sends.next_choice_at(server, share, now)
     }
 
     /// Counts a send to a server of a service that may have cold ones, while it is not known to be.
     pub fn sent(&self, server: &ServerIncarnation, now: Duration) {
-        self.state().sends.sent(server, now);
+        self.state().sends.record_send(server, now);
     }
 
     /// Forgets servers that are gone.
--- a/crates/amaranthscale/src/gateway/process/crash_watch.rs
+++ b/crates/amaranthscale/src/gateway/process/crash_watch.rs
@@ -11,7 +11,7 @@
 
 use amaranthscale_core::id::{EvidenceId, InstanceId, RequestFingerprint, ServerIncarnation};
 use amaranthscale_core::process::{
-    CrashEvidence, LossStep, LostRuns, Quarantine, QuarantineChange, Verdict,
+    CrashEvidence, LossAction, LostRuns, Quarantine, QuarantineChange, QuarantineState,
 };
 use log::{info, warn};
 use tokio::sync::{Notify, watch};
@@ -84,7 +84,7 @@
     pub(crate) fn check(&self, content: &RequestContent) -> Result<(), usize> {
         let now = self.clock.now();
         let mut state = self.state();
-        let Verdict::Held(crashed) = state.verdict(content, now) else {
+        let QuarantineState::Quarantined(crashed) = state.verdict(content, now) else {
             return Ok(());
         };
         let request = content.fingerprint();
@@ -100,7 +100,7 @@
     /// Whether a request is close to being held back: it is sent to no second server by itself.
     pub(crate) fn is_one_at_a_time(&self, content: &RequestContent) -> bool {
         let now = self.clock.now();
-        self.state().verdict(content, now) == Verdict::OneAtATime
+        self.state().verdict(content, now) == QuarantineState::SingleRun
     }
 
     /// Claims the one run at a time that a suspected request is allowed, where it is suspected; an error
@@ -182,13 +182,13 @@
         let now = self.clock.now();
         let request = content.fingerprint();
         let mut state = self.state();
-        match state.lost.lost(server, request, now) {
-            LossStep::Wait => {}
-            LossStep::Report => {
+        match state.lost.record_loss(server, request, now) {
+            LossAction::Wait => {}
+            LossAction::Report => {
                 state.untold.add_crash(server, request);
                 self.note_untold(&mut state, now);
             }
-            LossStep::Probe => {
+            LossAction::Probe => {
                 let (watch, server) = (Arc::clone(self), server.clone());
                 tokio::spawn(async move { watch.look_at(server, address).await });
             }
@@ -203,7 +203,7 @@
             return;
         }
         let request = content.fingerprint();
-        if !state.quarantine.is_survival_told(request) {
+        if !state.quarantine.publishes_survival(request) {
             return;
         }
         self.counters.count("quarantine.survived");
@@ -217,10 +217,10 @@
         let port = probe_port(address, LOOK_PATIENCE).await;
         self.counters.count_reason("servers.looked-at", port.name());
         if port == PortState::Refuses {
-            let requests = self.state().lost.crashed(&server);
+            let requests = self.state().lost.mark_crashed(&server);
             self.crashed(&server, "refuses connections", requests);
         } else {
-            self.state().lost.not_crashed(&server);
+            self.state().lost.mark_not_crashed(&server);
         }
     }
 
@@ -228,9 +228,9 @@
     pub(crate) fn servers_changed(&self) {
         let servers = self.knowledge.servers();
         let is_listed = |life: &ServerIncarnation| servers.is_listed(life);
-        let missing = self.state().lost.missing(is_listed);
+        let missing = self.state().lost.unlisted(is_listed);
         for server in missing {
-            let requests = self.state().lost.gone(&server);
+            let requests = self.state().lost.mark_gone(&server);
             self.crashed(&server, "is listed no more", requests);
         }
     }
@@ -264,7 +264,7 @@
             return;
         }
         let id = evidence_id(&self.instance, state.number);
-        let changes = state.quarantine.take(id, state.untold.clone(), now);
+        let changes = state.quarantine.add_evidence(id, state.untold.clone(), now);
         self.log(&changes);
         self.to_tell.notify_one();
     }
@@ -283,7 +283,7 @@
 
     /// Evidence that counts no more.
     pub(super) fn outdated(&self) -> Vec<EvidenceId> {
-        self.state().quarantine.outdated(self.clock.now())
+        self.state().quarantine.expired(self.clock.now())
     }
 
     /// Takes evidence that a gateway told; none where it was removed.
@@ -294,8 +294,8 @@
             return;
         }
         let changes = match evidence {
-            Some(evidence) => state.quarantine.take(id, evidence, now),
-            None => state.quarantine.take_back(&id, now),
+            Some(evidence) => state.quarantine.add_evidence(id, evidence, now),
+            None => state.quarantine.remove_evidence(&id, now),
         };
         self.log(&changes);
     }
@@ -305,14 +305,14 @@
         let now = self.clock.now();
         let own = format!("{}.", self.instance);
         let is_kept = |id: &EvidenceId| ids.contains(id) || id.as_str().starts_with(&own);
-        let changes = self.state().quarantine.keep_only(is_kept, now);
+        let changes = self.state().quarantine.retain_evidence(is_kept, now);
         self.log(&changes);
     }
 
     /// Requests that are held back, each with the servers that crashed under it.
     pub(crate) fn held_requests(&self) -> Vec<(RequestFingerprint, Vec<ServerIncarnation>)> {
         let state = self.state();
-        let held = state.quarantine.held();
+        let held = state.quarantine.quarantined();
         held.map(|(request, servers)| (request, servers.iter().cloned().collect()))
             .collect()
     }
@@ -323,7 +323,10 @@
     pub(crate) fn lift(&self, request: RequestFingerprint) -> bool {
         let now = self.clock.now();
         let mut state = self.state();
-        let held = state.quarantine.held().find(|(held, _)| *held == request);
+        let held = state
+            .quarantine
+            .quarantined()
+            .find(|(held, _)| *held == request);
         let Some(crashes) = held.map(|(_, servers)| servers.len()) else {
             return false;
         };
@@ -337,7 +340,7 @@
     fn log(&self, changes: &[QuarantineChange]) {
         for change in changes {
             match change {
-                QuarantineChange::Held(request, servers) => {
+                QuarantineChange::Quarantined(request, servers) => {
                     self.counters.count("quarantine.held");
                     let servers: Vec<_> = servers.iter().map(ToString::to_string).collect();
                     warn!(
@@ -363,11 +366,11 @@
 
 impl State {
     /// What is known against a request; it is named only while anything is suspected.
-    fn verdict(&self, content: &RequestContent, now: Duration) -> Verdict {
+    fn verdict(&self, content: &RequestContent, now: Duration) -> QuarantineState {
         if self.quarantine.is_empty() {
-            return Verdict::Clear;
+            return QuarantineState::Clear;
         }
-        self.quarantine.verdict(content.fingerprint(), now)
+        self.quarantine.state(content.fingerprint(), now)
     }
 
     /// Ends the evidence that is gathered: what comes goes under the next name.
--- a/crates/amaranthscale/src/gateway/process/kept_pieces.rs
+++ b/crates/amaranthscale/src/gateway/process/kept_pieces.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use amaranthscale_core::process::KeptPiece;
+use amaranthscale_core::process::RetainedResult;
 use tokio::time::Instant;
 
 use super::JobNews;
@@ -11,7 +11,7 @@
 /// Results that are kept for a request, for the next owner if this one ends.
 #[derive(Debug, Default)]
 pub(super) struct KeptPieces {
-    pieces: BTreeMap<(usize, usize), (KeptPiece, Instant)>,
+    pieces: BTreeMap<(usize, usize), (RetainedResult, Instant)>,
 }
 
 impl KeptPieces {
@@ -31,8 +31,8 @@
     }
 
     /// The results with their ages as they are now.
-    pub(super) fn now(&self) -> Vec<KeptPiece> {
-        let aged = |(piece, told_at): &(KeptPiece, Instant)| KeptPiece {
+    pub(super) fn now(&self) -> Vec<RetainedResult> {
+        let aged = |(piece, told_at): &(RetainedResult, Instant)| RetainedResult {
             age: piece.age + told_at.elapsed(),
             ..piece.clone()
         };
--- a/crates/amaranthscale/src/gateway/process/limit_watch.rs
+++ b/crates/amaranthscale/src/gateway/process/limit_watch.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use amaranthscale_core::id::ServerIncarnation;
-use amaranthscale_core::process::{LimitWords, ServerLimit};
+use amaranthscale_core::process::{ReportedLimits, ServerLimit};
 use hyper::http::response;
 use log::info;
 use tokio::sync::Notify;
@@ -19,7 +19,7 @@
     clock: Clock,
     knowledge: Arc<Knowledge>,
     counters: Arc<Counters>,
-    words: Mutex<LimitWords>,
+    words: Mutex<ReportedLimits>,
     to_tell: Notify,
 }
 
@@ -65,7 +65,7 @@
         }
         let now = self.clock.now();
         let sent_at = now.saturating_sub(sent_at.elapsed());
-        if words.heard(server, limit, sent_at, now) {
+        if words.record_answer(server, limit, sent_at, now) {
             drop(words);
             self.changed(server, limit, "answer");
             self.to_tell.notify_one();
@@ -74,7 +74,10 @@
 
     /// Takes what another gateway told of a server; none where its word was removed.
     pub(crate) fn take(&self, server: &ServerIncarnation, limit: Option<ServerLimit>) {
-        if self.words().told(server, limit, self.clock.now()) {
+        if self
+            .words()
+            .apply_published(server, limit, self.clock.now())
+        {
             self.changed(server, limit, "store");
         }
         // What this gateway knows better is told again.
@@ -83,7 +86,7 @@
 
     /// Takes which servers' words a whole table holds.
     pub(crate) fn keep_only(&self, named: &[ServerIncarnation]) {
-        let ended = self.words().keep_only(named);
+        let ended = self.words().retain_published(named);
         for server in ended {
             self.changed(&server, None, "store");
         }
@@ -102,18 +105,19 @@
 
     /// Words that this gateway heard and the store does not say.
     pub(super) fn untold(&self) -> Vec<(ServerIncarnation, Option<ServerLimit>)> {
-        self.words().untold()
+        self.words().unpublished()
     }
 
     /// Notes that the store has taken a word.
     pub(super) fn stored(&self, server: &ServerIncarnation, limit: Option<ServerLimit>) {
-        self.words().stored(server, limit);
+        self.words().mark_published(server, limit);
     }
 
     /// Forgets servers that are gone; names those of which the store still says something.
     pub(super) fn forget_gone(&self) -> Vec<ServerIncarnation> {
         let servers = self.knowledge.servers();
-        self.words().forget_gone(|server| servers.is_listed(server))
+        self.words()
+            .remove_unlisted(|server| servers.is_listed(server))
     }
 
     /// Servers with a limit, for operators.
@@ -133,7 +137,7 @@
         }
     }
 
-    fn words(&self) -> MutexGuard<'_, LimitWords> {
+    fn words(&self) -> MutexGuard<'_, ReportedLimits> {
         self.words.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/amaranthscale/src/gateway/process/parts.rs
+++ b/crates/amaranthscale/src/gateway/process/parts.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use amaranthscale_core::id::{InstanceId, ServiceId, ZoneId};
-use amaranthscale_core::process::{BackendChoice, ConnectionShare};
+use amaranthscale_core::process::{ConnectionShare, ServerSelector};
 
 use super::super::Dialect;
 use super::super::connection::ServerPool;
@@ -56,7 +56,7 @@
     /// Servers that crash, and the requests that crash them.
     pub crashes: Arc<CrashWatch>,
     /// What sends told of the servers.
-    pub choice: Mutex<BackendChoice>,
+    pub choice: Mutex<ServerSelector>,
 }
 
 impl GatewayParts {
@@ -77,7 +77,7 @@
     pub fn connection_share(&self, service: &ServiceId) -> ConnectionShare {
         let routing = self.knowledge.routing();
         let pool = routing.as_ref().and_then(|routing| routing.pool(service));
-        pool.map_or(ConnectionShare::WHOLE, |pool| {
+        pool.map_or(ConnectionShare::UNLIMITED, |pool| {
             let servers = self.knowledge.servers();
             let servers = servers.usable(service).count();
             ConnectionShare::of(pool.max_connections, servers, self.knowledge.live())
@@ -85,7 +85,7 @@
     }
 
     /// What sends told of the servers; held for single decisions only.
-    pub fn choice(&self) -> MutexGuard<'_, BackendChoice> {
+    pub fn choice(&self) -> MutexGuard<'_, ServerSelector> {
         self.choice.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/amaranthscale/src/gateway/process/peer_pieces.rs
+++ b/crates/amaranthscale/src/gateway/process/peer_pieces.rs
@@ -10,7 +10,7 @@
 use std::task::{Context, Poll};
 
 use amaranthscale_core::id::InstanceId;
-use amaranthscale_core::process::PipelineOrder;
+use amaranthscale_core::process::JobSpec;
 use bytes::{Buf, Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming};
@@ -59,7 +59,7 @@
     peers: &PeerClient,
     owner: &InstanceId,
     address: SocketAddr,
-    order: &PipelineOrder,
+    order: &JobSpec,
     note: impl FnMut(JobNews),
 ) -> Result<(JobAnswer, Incoming), AskError> {
     let path = format!("{PIECES_PATH}{owner}");
@@ -147,7 +147,7 @@
     if request.uri().path().strip_prefix(PIECES_PATH) != Some(own.as_str()) {
         return status(StatusCode::NOT_FOUND);
     }
-    let order: PipelineOrder = match read_message(request, MAX_ORDER_BYTES).await {
+    let order: JobSpec = match read_message(request, MAX_ORDER_BYTES).await {
         Ok(order) => order,
         Err(reason) => {
             warn!(reason = reason.as_str(); "batches: a peer's order cannot be read");
--- a/crates/amaranthscale/src/gateway/process/pieces.rs
+++ b/crates/amaranthscale/src/gateway/process/pieces.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use amaranthscale_core::id::{InstanceId, ResultHandle};
-use amaranthscale_core::process::{JobFailure, PipelineOrder};
+use amaranthscale_core::process::{JobFailure, JobSpec};
 use hyper::body::Incoming;
 use log::info;
 use quick_error::quick_error;
@@ -63,10 +63,10 @@
 pub(crate) async fn make_pieces(
     parts: &GatewayParts,
     content: &RequestContent,
-    order: PipelineOrder,
+    order: JobSpec,
 ) -> Result<MadePieces, PiecesError> {
     let call = order.call.clone();
-    let held = order.aim_left + order.aim + OWNER_MARGIN;
+    let held = order.target_latency_left + order.target_latency + OWNER_MARGIN;
     let has_begun = AtomicBool::new(false);
     let mut asking = pin!(ask_owners(parts, content, order, &has_begun));
     tokio::select! {
@@ -85,16 +85,16 @@
 async fn ask_owners(
     parts: &GatewayParts,
     content: &RequestContent,
-    mut order: PipelineOrder,
+    mut order: JobSpec,
     has_begun: &AtomicBool,
 ) -> Result<MadePieces, PiecesError> {
     let started = Instant::now();
-    let (aim_left, deadline_left) = (order.aim_left, order.deadline_left);
+    let (aim_left, deadline_left) = (order.target_latency_left, order.deadline_left);
     let mut lost_by: Option<InstanceId> = None;
     let mut kept = KeptPieces::default();
     for _ in 0..MOST_ASKED {
-        order.kept = kept.now();
-        order.aim_left = aim_left.saturating_sub(started.elapsed());
+        order.retained = kept.now();
+        order.target_latency_left = aim_left.saturating_sub(started.elapsed());
         order.deadline_left = deadline_left.saturating_sub(started.elapsed());
         let (owner, address, is_own) = parts.knowledge.owner(order.cell);
         let note = |news| {
@@ -149,7 +149,7 @@
 
 async fn ask_here(
     parts: &GatewayParts,
-    order: &PipelineOrder,
+    order: &JobSpec,
     mut note: impl FnMut(JobNews),
 ) -> (JobAnswer, Kept) {
     let mut job = parts.batches.run(order.clone(), JobSource::Here).await;
--- a/crates/amaranthscale/src/gateway/process/server_uses.rs
+++ b/crates/amaranthscale/src/gateway/process/server_uses.rs
@@ -5,8 +5,8 @@
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::id::ServiceId;
 use amaranthscale_core::process::{
-    BackendChoice, ColdTerms, SeenLoad, SendBound, ServerList, ServerRecord, ServerUse,
-    UsableServers,
+    ColdLimits, LoadSnapshot, SendRateLimit, ServerAvailability, ServerList, ServerRecord,
+    ServerSelector, UsableServers,
 };
 
 use super::GatewayParts;
@@ -27,17 +27,17 @@
         &self,
         service: &ServiceId,
         pick: impl for<'a> FnOnce(
-            &BackendChoice,
+            &ServerSelector,
             UsableServers<'a>,
             Duration,
         ) -> Option<&'a ServerRecord>,
-    ) -> Option<(ServerRecord, SeenLoad)> {
+    ) -> Option<(ServerRecord, LoadSnapshot)> {
         let servers = self.knowledge.servers();
         let now = self.knowledge.clock().now();
         let usable = self.usable(&servers, service, now);
         let choice = self.choice();
         let chosen = pick(&choice, usable, now)?.clone();
-        let seen = choice.seen(&chosen.life, now);
+        let seen = choice.load_snapshot(&chosen.incarnation, now);
         drop(choice);
         self.note_chosen(&servers, &chosen, now);
         Some((chosen, seen))
@@ -54,22 +54,22 @@
         // One for all bounded servers of the service, as it costs a pass over the list.
         let mut basis = None;
         let mut usable = UsableServers::default();
-        for server in servers.staying(service) {
-            let server_use = servers.use_of_listed(server, terms, now);
-            if server_use == ServerUse::Free {
+        for server in servers.not_leaving(service) {
+            let server_use = servers.availability_of(server, terms, now);
+            if server_use == ServerAvailability::Free {
                 usable.free.push(server);
             }
-            let Some(bound) = server_use.bound() else {
+            let Some(bound) = server_use.rate_limit() else {
                 continue;
             };
             let basis = basis.get_or_insert_with(|| self.share_basis(servers, service, bound));
             basis.bound = bound;
-            if !self.bounded.has_place(&server.life, basis, now) {
+            if !self.bounded.has_place(&server.incarnation, basis, now) {
                 continue;
             }
             match bound {
-                SendBound::Cold { .. } => usable.cold.push(server),
-                SendBound::Limited { .. } => usable.free.push(server),
+                SendRateLimit::Cold { .. } => usable.cold.push(server),
+                SendRateLimit::Limited { .. } => usable.free.push(server),
             }
         }
         usable
@@ -78,9 +78,9 @@
     /// Counts a choice of a server for a request, if what the server is sent is bounded.
     fn note_chosen(&self, servers: &ServerList, server: &ServerRecord, now: Duration) {
         let terms = self.cold_terms(&server.service);
-        if let Some(bound) = servers.use_of_listed(server, terms, now).bound() {
+        if let Some(bound) = servers.availability_of(server, terms, now).rate_limit() {
             let basis = self.share_basis(servers, &server.service, bound);
-            self.bounded.chosen(&server.life, &basis, now);
+            self.bounded.chosen(&server.incarnation, &basis, now);
         }
     }
 
@@ -89,19 +89,19 @@
     ///
     /// Guards against what happens between a choice and its send: pieces take most of a second, a
     /// connection some hundred milliseconds, and a frozen process wakes with all its choices made.
-    pub fn try_send_to(&self, server: &ServerRecord) -> Result<(), ServerUse> {
+    pub fn try_send_to(&self, server: &ServerRecord) -> Result<(), ServerAvailability> {
         let servers = self.knowledge.servers();
         let now = self.knowledge.clock().now();
         let terms = self.cold_terms(&server.service);
-        let server_use = servers.use_of(&server.life, terms, now);
-        let may_send = if let Some(bound) = server_use.bound() {
+        let server_use = servers.availability(&server.incarnation, terms, now);
+        let may_send = if let Some(bound) = server_use.rate_limit() {
             let basis = self.share_basis(&servers, &server.service, bound);
-            self.bounded.try_send(&server.life, &basis, now)
+            self.bounded.try_send(&server.incarnation, &basis, now)
         } else {
-            server_use == ServerUse::Free
+            server_use == ServerAvailability::Free
         };
-        if server_use == ServerUse::Free && terms.is_some() {
-            self.bounded.sent(&server.life, now);
+        if server_use == ServerAvailability::Free && terms.is_some() {
+            self.bounded.sent(&server.incarnation, now);
         }
         if may_send {
             return Ok(());
@@ -116,25 +116,26 @@
         let servers = self.knowledge.servers();
         let now = self.knowledge.clock().now();
         let terms = self.cold_terms(service);
-        let staying = servers.staying(service);
+        let staying = servers.not_leaving(service);
         let uses: Vec<_> = staying
-            .map(|server| (server, servers.use_of_listed(server, terms, now)))
+            .map(|server| (server, servers.availability_of(server, terms, now)))
             .collect();
         // The others, if there are any, were tried; of these the share is used up.
-        let is_any = |holds: fn(&ServerUse) -> bool| uses.iter().any(|(_, one)| holds(one));
-        let code = if is_any(|one| matches!(one, ServerUse::Limited { .. })) {
+        let is_any =
+            |holds: fn(&ServerAvailability) -> bool| uses.iter().any(|(_, one)| holds(one));
+        let code = if is_any(|one| matches!(one, ServerAvailability::Limited { .. })) {
             ResultCode::ServersLimited
-        } else if is_any(|one| matches!(one, ServerUse::Cold { .. })) {
+        } else if is_any(|one| matches!(one, ServerAvailability::Cold { .. })) {
             ResultCode::ServersCold
-        } else if !uses.is_empty() && !is_any(|one| *one != ServerUse::Evacuated) {
+        } else if !uses.is_empty() && !is_any(|one| *one != ServerAvailability::Evacuated) {
             ResultCode::ZonesEvacuated
         } else {
             ResultCode::NoBackendServer
         };
         let limited = uses.iter().filter(|_| code == ResultCode::ServersLimited);
         let places = limited.filter_map(|(server, server_use)| {
-            let basis = self.share_basis(&servers, service, server_use.bound()?);
-            self.bounded.next_place(&server.life, &basis, now)
+            let basis = self.share_basis(&servers, service, server_use.rate_limit()?);
+            self.bounded.next_place(&server.incarnation, &basis, now)
         });
         NoneUsable {
             code,
@@ -143,7 +144,7 @@
     }
 
     /// What holds of a service's cold servers.
-    fn cold_terms(&self, service: &ServiceId) -> Option<ColdTerms> {
+    fn cold_terms(&self, service: &ServiceId) -> Option<ColdLimits> {
         let routing = self.knowledge.routing()?;
         routing.cold_terms(service, self.bounded.bounds())
     }
@@ -152,12 +153,12 @@
         &self,
         servers: &ServerList,
         service: &ServiceId,
-        bound: SendBound,
+        bound: SendRateLimit,
     ) -> ShareBasis {
         let (own, gateways) = self.knowledge.announced();
         ShareBasis {
             bound,
-            servers: servers.staying(service).count(),
+            servers: servers.not_leaving(service).count(),
             own,
             gateways,
         }
--- a/crates/amaranthscale/src/gateway/process/service_prompt_times.rs
+++ b/crates/amaranthscale/src/gateway/process/service_prompt_times.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use amaranthscale_core::id::ServiceId;
-use amaranthscale_core::process::PromptTimes;
+use amaranthscale_core::process::FirstEventEstimator;
 
 /// What this gateway's own streams have shown.
 #[derive(Debug, Default)]
 pub struct ServicePromptTimes {
-    by_service: Mutex<BTreeMap<ServiceId, PromptTimes>>,
+    by_service: Mutex<BTreeMap<ServiceId, FirstEventEstimator>>,
 }
 
 impl ServicePromptTimes {
@@ -18,7 +18,7 @@
     pub fn sample(&self, service: &ServiceId, prompt_tokens: u64, time: Duration) {
         let mut by_service = self.by_service();
         let times = by_service.entry(service.clone()).or_default();
-        times.sample(prompt_tokens, time);
+        times.record(prompt_tokens, time);
     }
 
     /// Time that a prompt of so many tokens is likely to take; none before enough has come.
@@ -26,7 +26,7 @@
         self.by_service().get(service)?.expected(prompt_tokens)
     }
 
-    fn by_service(&self) -> MutexGuard<'_, BTreeMap<ServiceId, PromptTimes>> {
+    fn by_service(&self) -> MutexGuard<'_, BTreeMap<ServiceId, FirstEventEstimator>> {
         self.by_service
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/amaranthscale/src/gateway/process/tell_crashes.rs
+++ b/crates/amaranthscale/src/gateway/process/tell_crashes.rs
@@ -55,7 +55,7 @@
 pub async fn remove_outdated(parts: Arc<GatewayParts>, store: StoreCalls) {
     loop {
         tokio::time::sleep(CLEAN_UP).await;
-        let (.., is_own) = parts.knowledge.owner(Cell::WHOLE);
+        let (.., is_own) = parts.knowledge.owner(Cell::SINGLE);
         if !is_own {
             continue;
         }
--- a/crates/amaranthscale/src/gateway/process/tell_limits.rs
+++ b/crates/amaranthscale/src/gateway/process/tell_limits.rs
@@ -61,7 +61,7 @@
     loop {
         tokio::time::sleep(CLEAN_UP).await;
         let gone = parts.limits.forget_gone();
-        let (.., is_own) = parts.knowledge.owner(Cell::WHOLE);
+        let (.., is_own) = parts.knowledge.owner(Cell::SINGLE);
         if !is_own {
             continue;
         }
--- a/crates/amaranthscale/src/gateway/request/engine_run.rs
+++ b/crates/amaranthscale/src/gateway/request/engine_run.rs
@@ -7,8 +7,8 @@
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::id::{InstanceId, ResultHandle, ServerIncarnation, ServiceId};
 use amaranthscale_core::process::{
-    ConnectionShare, JobFailure, PipelineOrder, SeenLoad, SendingEntry, ServerRecord, StageOrder,
-    USUAL_ENGINE_TIME,
+    ConnectionShare, DEFAULT_ENGINE_TIME, JobFailure, JobSpec, LoadSnapshot, SendingEntry,
+    ServerRecord, StageSpec,
 };
 use hyper::Response;
 use log::info;
@@ -50,7 +50,7 @@
     /// When the pieces were made.
     pub(super) pieces_at: Option<Instant>,
     /// Load that the last engine was chosen by.
-    pub(super) seen: SeenLoad,
+    pub(super) seen: LoadSnapshot,
 }
 
 /// An engine's answer that has begun, and the results that it still reads.
@@ -101,7 +101,7 @@
         remakes: 0,
         owner: None,
         pieces_at: None,
-        seen: SeenLoad::default(),
+        seen: LoadSnapshot::default(),
     };
     let running = run.begin().await?;
     if running.begun.head.status.is_success() {
@@ -131,7 +131,7 @@
                 Tried::Begun(running) => return Ok(*running),
                 Tried::MayGoOn(kept) => pieces = kept,
             }
-            self.tried.insert(server.life);
+            self.tried.insert(server.incarnation);
         }
     }
 
@@ -154,7 +154,7 @@
                 return Ok(Tried::Begun(Box::new(Running {
                     begun: *begun,
                     pieces,
-                    server: server.life.clone(),
+                    server: server.incarnation.clone(),
                 })));
             }
             SendOutcome::NotSent => self.not_sent("not-sent", server)?,
@@ -233,13 +233,13 @@
 
     fn choose(&mut self) -> Option<ServerRecord> {
         let (id, zone) = (&self.parts.instance, &self.parts.zone);
-        let entry = SendingEntry::new(id, zone, ConnectionShare::WHOLE);
+        let entry = SendingEntry::new(id, zone, ConnectionShare::UNLIMITED);
         let part = self.admitted.work.shared_part.as_deref();
         let chosen = self
             .parts
             .choose(&self.service, |choice, usable, now| match part {
-                Some(part) => choice.engine(usable, &self.tried, part, now),
-                None => choice.plain(usable, &self.tried, entry, now),
+                Some(part) => choice.select_engine(usable, &self.tried, part, now),
+                None => choice.select_plain(usable, &self.tried, entry, now),
             });
         let (server, seen) = chosen?;
         self.seen = seen;
@@ -255,22 +255,22 @@
         let made = if stages.iter().all(|stage| stage.pieces == 0) {
             None
         } else {
-            let order = PipelineOrder {
+            let order = JobSpec {
                 call: self.admitted.work.call.clone(),
                 route: route.id.clone(),
                 cell: self.parts.knowledge.cell_of(&self.admitted.work.call),
                 piece_key: self.admitted.work.piece_key.clone(),
                 stages,
                 rank: self.admitted.rank,
-                worth_tokens: self.admitted.work.worth_tokens,
-                aim: route.target_latency,
-                aim_left: route
+                value_tokens: self.admitted.work.worth_tokens,
+                target_latency: route.target_latency,
+                target_latency_left: route
                     .target_latency
                     .saturating_sub(self.admitted.arrived.elapsed()),
                 deadline_left: self.admitted.left().saturating_sub(ENGINE_RESERVE),
                 engine_time: self.engine_time(),
                 reader_zone: reader.zone.clone(),
-                kept: Vec::new(),
+                retained: Vec::new(),
             };
             let making = make_pieces(&self.parts, &self.admitted.content, order);
             // Guards against a caller that waits for pieces when the process ends: cut off, it
@@ -307,16 +307,16 @@
         let expected = self.parts.prompt_times.expected(&self.service, tokens);
         // A prompt that takes all of the aim cannot be in time whatever its pieces take.
         let most = self.admitted.route.target_latency / 2;
-        expected.unwrap_or(USUAL_ENGINE_TIME).min(most)
+        expected.unwrap_or(DEFAULT_ENGINE_TIME).min(most)
     }
 
-    fn stage_orders(&self) -> Vec<StageOrder> {
+    fn stage_orders(&self) -> Vec<StageSpec> {
         let pieces = &self.admitted.work.pieces;
         let stages = self.admitted.route.stages.iter().enumerate();
         stages
-            .map(|(index, stage)| StageOrder {
+            .map(|(index, stage)| StageSpec {
                 service: stage.service.clone(),
-                after: stage.after.clone(),
+                depends_on: stage.after.clone(),
                 pieces: pieces.get(index).copied().unwrap_or(0),
                 result_bytes: stage.result_bytes,
             })
@@ -365,9 +365,9 @@
     fn log_end(&self, end: &'static str, server: &ServerRecord) {
         info!(
             call = self.admitted.work.call.as_str(), fingerprint:% = self.admitted.content.fingerprint(),
-            server:% = server.life, end,
-            in_flight = self.seen.in_flight, told:% = self.seen.told,
-            told_age_ms:% = self.seen.told_age_ms,
+            server:% = server.incarnation, end,
+            in_flight = self.seen.in_flight, told:% = self.seen.reported,
+            told_age_ms:% = self.seen.reported_age_ms,
             ms = ms(self.admitted.arrived.elapsed());
             "request: send without answer"
         );
--- a/crates/amaranthscale/src/gateway/request/plain_run.rs
+++ b/crates/amaranthscale/src/gateway/request/plain_run.rs
@@ -7,7 +7,7 @@
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::id::ServiceId;
 use amaranthscale_core::process::{
-    ConnectionShare, SeenLoad, SendingEntry, ServerRecord, ServerUse,
+    ConnectionShare, LoadSnapshot, SendingEntry, ServerAvailability, ServerRecord,
 };
 use hyper::{HeaderMap, Response, StatusCode};
 use log::info;
@@ -42,7 +42,7 @@
 enum Tried {
     Answered(WholeAnswer),
     NotSent,
-    Withheld(ServerUse),
+    Withheld(ServerAvailability),
     Held,
     NotRun,
     Lost,
@@ -64,7 +64,7 @@
         may_have_run: 0,
         rejected: 0,
         kept_failure: None,
-        seen: SeenLoad::default(),
+        seen: LoadSnapshot::default(),
         share: parts.connection_share(service),
     };
     run.go(outgoing).await
@@ -80,7 +80,7 @@
     /// A server's failure that is passed on if no other server does better.
     kept_failure: Option<WholeAnswer>,
     /// Load that the last server was chosen by.
-    seen: SeenLoad,
+    seen: LoadSnapshot,
     share: ConnectionShare,
 }
 
@@ -121,7 +121,7 @@
                     has_time && self.may_repeat()
                 }
             };
-            self.tried.insert(server.life);
+            self.tried.insert(server.incarnation);
             if !has_more {
                 return self.give_up(Refused::new(ResultCode::QueueFull));
             }
@@ -131,7 +131,7 @@
     fn choose(&mut self) -> Option<ServerRecord> {
         let entry = SendingEntry::new(&self.parts.instance, &self.parts.zone, self.share);
         let chosen = self.parts.choose(self.service, |choice, usable, now| {
-            choice.plain(usable, &self.tried, entry, now)
+            choice.select_plain(usable, &self.tried, entry, now)
         });
         let (server, seen) = chosen?;
         self.seen = seen;
@@ -164,9 +164,9 @@
             let ms = ms(started.elapsed());
             info!(
                 call = call.as_str(), fingerprint:% = self.admitted.content.fingerprint(),
-                server:% = server.life, end = tried.name(),
-                in_flight = self.seen.in_flight, told:% = self.seen.told,
-                told_age_ms:% = self.seen.told_age_ms, ms;
+                server:% = server.incarnation, end = tried.name(),
+                in_flight = self.seen.in_flight, told:% = self.seen.reported,
+                told_age_ms:% = self.seen.reported_age_ms, ms;
                 "request: send without answer"
             );
         }
@@ -241,9 +241,9 @@
         info!(
             call = admitted.work.call.as_str(), fingerprint:% = admitted.content.fingerprint(),
             route:% = admitted.route.id,
-            server:% = server.life, status = answer.status.as_u16(), sends,
-            in_flight = self.seen.in_flight, told:% = self.seen.told,
-            told_age_ms:% = self.seen.told_age_ms,
+            server:% = server.incarnation, status = answer.status.as_u16(), sends,
+            in_flight = self.seen.in_flight, told:% = self.seen.reported,
+            told_age_ms:% = self.seen.reported_age_ms,
             aim_ms = ms(admitted.route.target_latency), ms = ms(elapsed);
             "request: answered"
         );
--- a/crates/amaranthscale/src/gateway/request/send.rs
+++ b/crates/amaranthscale/src/gateway/request/send.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use amaranthscale_core::id::CallId;
-use amaranthscale_core::process::{HealthChange, SendEnd, ServerRecord, ServerUse};
+use amaranthscale_core::process::{HealthChange, SendEnd, ServerAvailability, ServerRecord};
 use hyper::body::Incoming;
 use hyper::header::CONTENT_ENCODING;
 use hyper::http::response;
@@ -24,7 +24,7 @@
     /// The request never left.
     NotSent,
     /// The request never left, as the server may not be used now.
-    Withheld(ServerUse),
+    Withheld(ServerAvailability),
     /// The request never left, as servers crash under it.
     Held,
     /// The server says that it did not run it.
@@ -56,10 +56,10 @@
 
 impl Sent {
     pub(super) fn new(parts: &std::sync::Arc<GatewayParts>, server: &ServerRecord) -> Self {
-        parts.choice().sent(&server.life);
+        parts.choice().record_send(&server.incarnation);
         Self {
             parts: std::sync::Arc::clone(parts),
-            server: server.life.clone(),
+            server: server.incarnation.clone(),
             address: server.address,
             started: Instant::now(),
             end: SendEnd::Abandoned,
@@ -100,10 +100,10 @@
         let change = self
             .parts
             .choice()
-            .ended(&self.server, self.end, elapsed, now);
+            .record_end(&self.server, self.end, elapsed, now);
         match change {
-            Some(HealthChange::LeftOut) => info!(server:% = self.server; "servers: left out"),
-            Some(HealthChange::TakenBack) => info!(server:% = self.server; "servers: taken back"),
+            Some(HealthChange::Ejected) => info!(server:% = self.server; "servers: left out"),
+            Some(HealthChange::Readmitted) => info!(server:% = self.server; "servers: taken back"),
             None => {}
         }
     }
@@ -120,13 +120,13 @@
     let call = &admitted.work.call;
     let Ok(mut connection) = parts.pool.connection(server).await else {
         parts.counters.count("servers.unreached");
-        sent.end(SendEnd::Unreached);
+        sent.end(SendEnd::Unreachable);
         return SendOutcome::NotSent;
     };
     if !admitted.route.kind.may_repeat() && connection.prove().await.is_err() {
         // It takes no more connections now: full, but not sick.
         parts.counters.count("connection.reset-unused");
-        sent.end(SendEnd::Full);
+        sent.end(SendEnd::Rejected);
         return SendOutcome::NotSent;
     }
     if admitted.check_held(parts).await.is_err() {
@@ -138,7 +138,7 @@
         return SendOutcome::Withheld(server_use);
     }
     let sent_at = Instant::now();
-    let request = outgoing.request(&parts.dialect, server.life.id(), admitted.left());
+    let request = outgoing.request(&parts.dialect, server.incarnation.id(), admitted.left());
     let response = match connection.send(request).await {
         Ok(response) => response,
         Err(SendError::NotSent(..)) => {
@@ -160,19 +160,21 @@
     let dialect = &parts.dialect;
     if let Some(load) = (dialect.told_load)(&head.headers) {
         let now = parts.knowledge.clock().now();
-        parts.choice().told(&server.life, load, now);
+        parts.choice().record_load(&server.incarnation, load, now);
     }
     if !is_own(parts, call, &head) {
         sent.end(SendEnd::Failed);
         return SendOutcome::Lost;
     }
-    parts.limits.heard(dialect, &server.life, &head, sent_at);
+    parts
+        .limits
+        .heard(dialect, &server.incarnation, &head, sent_at);
     if (dialect.did_not_run)(head.status, &head.headers) {
         let is_other = (dialect.is_other_server)(head.status);
         sent.end(if is_other {
             SendEnd::Failed
         } else {
-            SendEnd::Full
+            SendEnd::Rejected
         });
         return if (dialect.is_input_gone)(head.status) {
             SendOutcome::InputGone
--- a/crates/amaranthscale/src/gateway/request/stream_relay.rs
+++ b/crates/amaranthscale/src/gateway/request/stream_relay.rs
@@ -205,7 +205,7 @@
             route:% = admitted.route.id,
             server:% = server, end, events = self.passed, owner,
             prompt_tokens = admitted.work.prompt_tokens,
-            in_flight = seen.in_flight, told:% = seen.told, told_age_ms:% = seen.told_age_ms,
+            in_flight = seen.in_flight, told:% = seen.reported, told_age_ms:% = seen.reported_age_ms,
             pieces_ms = ms(pieces_at - admitted.arrived),
             aim_ms = ms(admitted.route.target_latency), begun_ms = ms(first_at), ms = ms(Instant::now() - admitted.arrived);
             "stream: ended"
--- a/crates/amaranthscale/src/gateway/version/follow.rs
+++ b/crates/amaranthscale/src/gateway/version/follow.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use amaranthscale_core::id::{InstanceId, ServerId};
-use amaranthscale_core::process::{Announcement, LAPSE_GRACE, ServerChange, ServerList};
+use amaranthscale_core::process::{Announcement, EXPIRY_GRACE, ServerChange, ServerList};
 use amaranthscale_core::version::Routing;
 use log::{info, warn};
 use tokio::time::Instant;
@@ -107,7 +107,7 @@
                 info!(servers = entries.len(); "servers: listed");
                 knowledge.change_servers(|servers, now| {
                     servers.store_answered(now);
-                    servers.take_all(entries, now);
+                    servers.replace_all(entries, now);
                     true
                 });
             }
@@ -117,7 +117,7 @@
                     .change_servers(|servers, now| take_changes(servers, changes, &mut lines, now));
             }
         }
-        if let Some(until) = knowledge.servers().lapsed_until() {
+        if let Some(until) = knowledge.servers().expired_until() {
             tokio::spawn(drop_lapsed_at(Arc::clone(&knowledge), until));
         }
     }
@@ -146,7 +146,7 @@
             keep_only(&own, &told);
             let ids = rows.iter().filter_map(|row| row.key.parse().ok());
             let ids: Vec<_> = ids.collect();
-            knowledge.change_instances(|instances| instances.keep_only(&ids));
+            knowledge.change_instances(|instances| instances.retain_listed(&ids));
             // Removed while nothing was told, as while the store had lost its history.
             if own.is_announced.load(Ordering::Acquire) && !ids.contains(&own.instance) {
                 announce_again(&store, &own);
@@ -308,7 +308,7 @@
     servers.store_answered(now);
     let mut is_changed = false;
     for change in changes {
-        if servers.take(change.clone(), now) {
+        if servers.apply_change(change.clone(), now) {
             log_change(&change, lines);
             is_changed = true;
         }
@@ -328,13 +328,13 @@
                 "ready"
             };
             info!(
-                server:% = record.life, state, service = record.service.as_str(),
+                server:% = record.incarnation, state, service = record.service.as_str(),
                 address:% = record.address, cold_ms = ms(record.cold_left.unwrap_or_default()),
                 left_out;
                 "servers: changed"
             );
         }
-        ServerChange::Gone(id) => {
+        ServerChange::Removed(id) => {
             info!(server = id.as_str(), state = "gone", left_out; "servers: changed");
         }
         ServerChange::Unreadable(id) => {
@@ -344,9 +344,9 @@
 }
 
 fn drop_lapsed(servers: &mut ServerList, now: Duration) -> bool {
-    let dropped = servers.drop_lapsed(now);
+    let dropped = servers.drop_expired(now);
     for id in &dropped {
-        let grace_ms = ms(LAPSE_GRACE);
+        let grace_ms = ms(EXPIRY_GRACE);
         info!(server = id.as_str(), grace_ms; "servers: gone after the store's return");
     }
     !dropped.is_empty()
@@ -381,7 +381,7 @@
     }
     Some(match read {
         Ok(Some(record)) => ServerChange::Listed(record),
-        Ok(None) => ServerChange::Gone(id),
+        Ok(None) => ServerChange::Removed(id),
         Err(_told) => ServerChange::Unreadable(id),
     })
 }
--- a/crates/amaranthscale/src/gateway/version/knowledge.rs
+++ b/crates/amaranthscale/src/gateway/version/knowledge.rs
@@ -100,7 +100,7 @@
     #[must_use]
     pub fn live(&self) -> usize {
         let now = self.clock.now();
-        self.known().instances.live(now)
+        self.known().instances.live_count(now)
     }
 
     /// The cell that makes a request's pieces.
@@ -138,13 +138,13 @@
 
     /// Notes that a gateway answered.
     pub fn heard(&self, id: &InstanceId) {
-        self.known().instances.heard(id);
+        self.known().instances.mark_responsive(id);
     }
 
     /// Notes that a gateway did not answer.
     pub fn silent(&self, id: &InstanceId) {
         let now = self.clock.now();
-        self.known().instances.silent(id, now);
+        self.known().instances.mark_unresponsive(id, now);
         self.silence.notify_one();
     }
 
@@ -164,14 +164,14 @@
     #[must_use]
     pub fn passed_over(&self) -> Vec<(InstanceId, SocketAddr)> {
         let now = self.clock.now();
-        self.known().instances.passed_over(now)
+        self.known().instances.unresponsive(now)
     }
 
     /// Other gateways that are not passed over, and where they are.
     #[must_use]
     pub fn others(&self) -> Vec<(InstanceId, SocketAddr)> {
         let now = self.clock.now();
-        self.known().instances.others(now)
+        self.known().instances.live_others(now)
     }
 
     /// Who reads the store for this gateway, but for those that are left out.
@@ -185,7 +185,7 @@
     #[must_use]
     pub fn forgotten(&self) -> Vec<InstanceId> {
         let now = self.clock.now();
-        self.known().instances.forgotten(now)
+        self.known().instances.expired(now)
     }
 
     /// Takes a routing that the store told at a time of its clock; one that is not newer is dropped, so that
@@ -215,7 +215,7 @@
         let handled = self.clock.with_suspension().saturating_sub(heard_at);
         let began_at = self.clock.now().saturating_sub(handled);
         let mut known = self.known();
-        known.freshness.answered(store_clock, heard_at);
+        known.freshness.record_answer(store_clock, heard_at);
         // What was long on its way may have been replaced meanwhile: the next answer tells.
         known.newer_since = (handled > SLOW_ANSWER).then_some(began_at);
     }
@@ -292,7 +292,7 @@
             return;
         };
         let batched = routing.pools().filter(|pool| pool.batch.is_some());
-        let servers = batched.map(|pool| self.servers.staying(&pool.service).count());
+        let servers = batched.map(|pool| self.servers.not_leaving(&pool.service).count());
         let cells = Cell::count(servers);
         if cells != self.cells {
             info!(cells, before = self.cells; "batches: dealt out to cells");
--- a/crates/amaranthscale/src/gateway/version/zones.rs
+++ b/crates/amaranthscale/src/gateway/version/zones.rs
@@ -40,7 +40,7 @@
     let mut count = 0;
     let age_ms = ms(knowledge.age().unwrap_or_default());
     knowledge.change_servers(|servers, now| {
-        let taken = servers.take_zones(changes, is_whole, now);
+        let taken = servers.apply_zones(changes, is_whole, now);
         for (zone, state) in &taken {
             let in_zone = servers.all().filter(|record| record.zone == *zone);
             let servers = in_zone.count();
--- a/crates/amaranthscale/src/sidecar/gate/gate_state.rs
+++ b/crates/amaranthscale/src/sidecar/gate/gate_state.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use amaranthscale_core::id::AttemptId;
-use amaranthscale_core::process::{CostBook, FairQueue, LoadMeter, QueuedAttempt, Refusal};
+use amaranthscale_core::process::{CostTracker, FairQueue, LoadMeter, QueuedAttempt, Refusal};
 use amaranthscale_core::request::{Ledger, LedgerState};
 use amaranthscale_core::unit::SidecarClock;
 use amaranthscale_core::wire::{Fetch, Outcome, Revoke, RevokeAnswer, RowWrite};
@@ -30,7 +30,7 @@
     ledger: Ledger,
     queue: FairQueue,
     answers: KeptAnswers,
-    costs: CostBook,
+    costs: CostTracker,
     are_costs_changed: bool,
     meter: LoadMeter,
     leaving_since: Option<SidecarClock>,
@@ -49,7 +49,7 @@
             ledger: Ledger::new(board.incarnation, limits.ledger),
             queue: FairQueue::new(limits.queue),
             answers: KeptAnswers::new(max_kept),
-            costs: CostBook::new(board.host.clone(), board.incarnation),
+            costs: CostTracker::new(board.host.clone(), board.incarnation),
             are_costs_changed: false,
             meter: LoadMeter::default(),
             leaving_since: None,
@@ -144,7 +144,7 @@
             return;
         };
         let waited = job.arrival.until(now);
-        self.meter.waited(job.dispatch.class, millis(waited));
+        self.meter.record_wait(job.dispatch.class, millis(waited));
         tokio::spawn(Arc::clone(&self.runner).run(job, self.myself.clone()));
     }
 
@@ -200,9 +200,9 @@
     fn measure(&mut self, outcome: &Outcome, now: SidecarClock) {
         let server_ms = outcome.cost.server_ms;
         if outcome.code == ResultCode::Complete {
-            self.meter.served(server_ms, now);
+            self.meter.record_service(server_ms, now);
         } else {
-            self.meter.cut_off(server_ms, now);
+            self.meter.record_cancelled(server_ms, now);
         }
     }
 
--- a/crates/core/examples/batcher_load.rs
+++ b/crates/core/examples/batcher_load.rs
@@ -17,8 +17,8 @@
 
 use amaranthscale_core::id::RoutingVersion;
 use amaranthscale_core::process::{
-    Batch, BatchEnd, Batcher, Cell, JobEvent, PieceEnd, PipelineOrder, Rank, ServerRecord,
-    ServerUse, StageOrder, USUAL_ENGINE_TIME,
+    Batch, BatchEnd, Batcher, Cell, DEFAULT_ENGINE_TIME, JobEvent, JobSpec, PieceEnd, Rank,
+    ServerAvailability, ServerRecord, StageSpec,
 };
 use amaranthscale_core::version::{BatchSpec, CallerBounds, Pool, Routing};
 
@@ -66,7 +66,7 @@
 
 fn server(service: &str, index: u32) -> ServerRecord {
     ServerRecord {
-        life: format!("{service}-{index}").parse().unwrap(),
+        incarnation: format!("{service}-{index}").parse().unwrap(),
         service: service.parse().unwrap(),
         address: "127.0.0.1:9000".parse().unwrap(),
         zone: format!("zone-{}", index % 6).parse().unwrap(),
@@ -101,38 +101,40 @@
     });
     let routing = Routing::new(RoutingVersion::new(1), CallerBounds::default());
     let mut batcher = Batcher::new();
-    let in_use = servers.iter().map(|server| (server, ServerUse::Free));
+    let in_use = servers
+        .iter()
+        .map(|server| (server, ServerAvailability::Free));
     batcher.set_servers(&routing.with_pools(pools), in_use, Duration::ZERO);
     batcher
 }
 
-fn order(number: u64, load: Load) -> PipelineOrder {
+fn order(number: u64, load: Load) -> JobSpec {
     let last_bytes = if number.is_multiple_of(2) {
         load.large_bytes
     } else {
         6_000
     };
     let stages = SERVICES.iter().zip(PIECES).enumerate();
-    let stages = stages.map(|(index, (service, pieces))| StageOrder {
+    let stages = stages.map(|(index, (service, pieces))| StageSpec {
         service: service.parse().unwrap(),
-        after: index.checked_sub(1).into_iter().collect(),
+        depends_on: index.checked_sub(1).into_iter().collect(),
         pieces,
         result_bytes: if index == 2 { last_bytes } else { 6_000 },
     });
-    PipelineOrder {
+    JobSpec {
         call: format!("call-{number}").parse().unwrap(),
         route: "route".parse().unwrap(),
-        cell: Cell::WHOLE,
+        cell: Cell::SINGLE,
         piece_key: "key".to_owned(),
         stages: stages.collect(),
         rank: Rank::default(),
-        worth_tokens: 1_000 + number % 7 * 500,
-        aim: Duration::from_secs(2),
-        aim_left: Duration::from_secs(2),
+        value_tokens: 1_000 + number % 7 * 500,
+        target_latency: Duration::from_secs(2),
+        target_latency_left: Duration::from_secs(2),
         deadline_left: Duration::from_secs(15),
-        engine_time: USUAL_ENGINE_TIME,
+        engine_time: DEFAULT_ENGINE_TIME,
         reader_zone: format!("zone-{}", number % 6).parse().unwrap(),
-        kept: Vec::new(),
+        retained: Vec::new(),
     }
 }
 
@@ -174,7 +176,7 @@
         let later = ends.split_off(&(now, u64::MAX));
         for batch in std::mem::replace(&mut ends, later).into_values() {
             let made = (0..batch.items.len()).map(|index| {
-                PieceEnd::Made(
+                PieceEnd::Completed(
                     format!("10.0.0.1:80/{}-{index}", batch.items[0].call)
                         .parse()
                         .unwrap(),
@@ -199,18 +201,20 @@
                     figures.failed += 1;
                     job
                 }
-                JobEvent::Made(..) | JobEvent::Dropped(..) | JobEvent::CutOff(..) => continue,
+                JobEvent::ResultsStored(..)
+                | JobEvent::ResultsDropped(..)
+                | JobEvent::ConnectionLost(..) => continue,
             };
             read.push_back((now + READ_FOR, job));
         }
         while let Some((_, job)) = read.pop_front_if(|(at, _)| *at <= now) {
             batcher.release(job);
         }
-        for frees in batcher.take_frees(|_| true) {
-            batcher.freed(&frees);
+        for frees in batcher.take_free_requests(|_| true) {
+            batcher.results_freed(&frees);
         }
         figures.spent += started.elapsed();
-        figures.most_jobs = figures.most_jobs.max(batcher.jobs());
+        figures.most_jobs = figures.most_jobs.max(batcher.job_count());
     }
     figures
 }
--- a/crates/core/src/process/admission.rs
+++ b/crates/core/src/process/admission.rs
@@ -30,12 +30,12 @@
 ///
 /// use amaranthscale_core::ResultCode;
 /// use amaranthscale_core::process::{Admission, StageEstimate};
-/// use amaranthscale_core::unit::{Budget, Class};
+/// use amaranthscale_core::unit::{TimeBudget, Class};
 ///
 /// let mut admission = Admission::new(7);
 /// let busy = [StageEstimate { queue_ms: 900, service_ms: 300 }];
 /// let refusal = admission
-///     .decide(Budget::from_millis(1_000), &busy, Class::Paid, Duration::ZERO)
+///     .decide(TimeBudget::from_millis(1_000), &busy, Class::Paid, Duration::ZERO)
 ///     .unwrap_err();
 /// assert_eq!(refusal.code, ResultCode::DeadlineUnreachable);
 /// ```
--- a/crates/core/src/process/attainment_book.rs
+++ b/crates/core/src/process/attainment_tracker.rs
@@ -13,21 +13,21 @@
 ///
 /// ```
 /// use amaranthscale_core::ResultCode;
-/// use amaranthscale_core::process::AttainmentBook;
+/// use amaranthscale_core::process::AttainmentTracker;
 /// use amaranthscale_core::unit::Class;
 ///
-/// let mut book = AttainmentBook::default();
+/// let mut book = AttainmentTracker::default();
 /// let organisation = "delta-basin".parse().unwrap();
 /// book.record(Class::Paid, &organisation, ResultCode::Complete, true);
 /// book.record(Class::Paid, &organisation, ResultCode::QueueFull, true);
 /// assert_eq!(book.class(Class::Paid).attainment_basis_points(), Some(5_000));
 /// ```
 #[derive(Debug, Default)]
-pub struct AttainmentBook {
+pub struct AttainmentTracker {
     counts: BTreeMap<(Class, OrganisationId), AttainmentCounts>,
 }
 
-impl AttainmentBook {
+impl AttainmentTracker {
     /// Counts one final answer.
     pub fn record(
         &mut self,
--- a/crates/core/src/process/attempt_end.rs
+++ b/crates/core/src/process/attempt_end.rs
@@ -12,7 +12,7 @@
     /// The backend server failed.
     Failed,
     /// Nothing came in time.
-    Silent,
+    TimedOut,
     /// The entry gave it up for its own reasons.
     Cancelled,
 }
--- a/crates/core/src/process/batcher.rs
+++ b/crates/core/src/process/batcher.rs
@@ -34,16 +34,16 @@
 use std::time::Duration;
 
 use crate::id::{ServerIncarnation, ServiceId};
+use crate::process::server_availability::ServerAvailability;
 use crate::process::server_list::ServerRecord;
-use crate::process::server_use::ServerUse;
 use crate::version::{BatchSpec, Routing};
 
 #[doc(inline)]
-pub use kept::KeptPiece;
+pub use kept::RetainedResult;
 #[doc(inline)]
 pub use message::{
-    Batch, BatchEnd, BatchId, BatchItem, Frees, JobEvent, JobFailure, JobId, JobRefused, PieceEnd,
-    PieceInput, PipelineOrder, StageOrder, StageTimes, USUAL_ENGINE_TIME,
+    Batch, BatchEnd, BatchId, BatchItem, DEFAULT_ENGINE_TIME, FreeRequest, JobEvent, JobFailure,
+    JobId, JobRefusal, JobSpec, PieceEnd, PieceInput, StageSpec, StageTimes,
 };
 
 use job::{Job, PieceState, StageState};
@@ -62,14 +62,14 @@
     pools: BTreeMap<ServiceId, PoolState>,
     jobs: BTreeMap<JobId, Job>,
     batches: BTreeMap<BatchId, RunningBatch>,
-    frees: BTreeMap<ServerIncarnation, Frees>,
+    frees: BTreeMap<ServerIncarnation, FreeRequest>,
     events: Vec<JobEvent>,
     open_work: OpenWork,
     swept_at: Duration,
     next_job: u64,
     next_batch: u64,
     worth: RouteWorth,
-    looked_at: u64,
+    examined_stages: u64,
     /// Until when other owners may use the same servers.
     shared_until: Duration,
     is_stopping: bool,
@@ -112,7 +112,7 @@
     pub fn set_servers<'a>(
         &mut self,
         routing: &Routing,
-        servers: impl Iterator<Item = (&'a ServerRecord, ServerUse)>,
+        servers: impl Iterator<Item = (&'a ServerRecord, ServerAvailability)>,
         now: Duration,
     ) {
         let specs: BTreeMap<ServiceId, BatchSpec> = routing
@@ -123,13 +123,16 @@
             let pool = self.pools.entry(service.clone()).or_default();
             pool.set_spec(*spec);
         }
-        let mut listed: BTreeMap<&ServiceId, Vec<(&ServerRecord, ServerUse)>> = BTreeMap::new();
+        let mut listed: BTreeMap<&ServiceId, Vec<(&ServerRecord, ServerAvailability)>> =
+            BTreeMap::new();
         let mut lives = ListedLives::new();
-        for (server, server_use) in servers {
-            lives.insert(server.life.id().clone(), server.life.clone());
-            if server_use.is_usable() || server_use == ServerUse::Evacuated {
+        for (server, server_availability) in servers {
+            lives.insert(server.incarnation.id().clone(), server.incarnation.clone());
+            if server_availability.is_usable()
+                || server_availability == ServerAvailability::Evacuated
+            {
                 let of_service = listed.entry(&server.service).or_default();
-                of_service.push((server, server_use));
+                of_service.push((server, server_availability));
             }
         }
         for (service, pool) in &mut self.pools {
@@ -140,9 +143,9 @@
     }
 
     /// Takes a request's work, or refuses what cannot be done in time.
-    pub fn submit(&mut self, mut order: PipelineOrder, now: Duration) -> Result<JobId, JobRefused> {
+    pub fn submit(&mut self, mut order: JobSpec, now: Duration) -> Result<JobId, JobRefusal> {
         if !order.is_well_formed() {
-            return Err(JobRefused {
+            return Err(JobRefusal {
                 retry_after: Duration::ZERO,
                 reason: JobFailure::Malformed,
             });
@@ -176,8 +179,11 @@
 
     /// Results that may be dropped, by server, for servers that a function names.
     ///
-    /// Their room counts as taken until [`Self::freed`] says that the server has dropped them.
-    pub fn take_frees(&mut self, is_wanted: impl Fn(&ServerIncarnation) -> bool) -> Vec<Frees> {
+    /// Their room counts as taken until [`Self::results_freed`] says that the server has dropped them.
+    pub fn take_free_requests(
+        &mut self,
+        is_wanted: impl Fn(&ServerIncarnation) -> bool,
+    ) -> Vec<FreeRequest> {
         let (taken, kept) = std::mem::take(&mut self.frees)
             .into_iter()
             .partition::<BTreeMap<_, _>, _>(|(server, _)| is_wanted(server));
@@ -186,9 +192,9 @@
     }
 
     /// Takes note that a server has dropped results, or never will know them again.
-    pub fn freed(&mut self, frees: &Frees) {
+    pub fn results_freed(&mut self, frees: &FreeRequest) {
         if let Some(pool) = self.pools.get_mut(&frees.service) {
-            pool.give_back(&frees.server, frees.room_bytes);
+            pool.give_back(&frees.server, frees.total_bytes);
         }
     }
 
@@ -236,19 +242,19 @@
 
     /// Stages that wait for a server.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn queued_stages(&self) -> usize {
         self.pools.values().map(|pool| pool.queue.len()).sum()
     }
 
     /// Waiting stages that free servers have looked at since the start: what decisions cost.
     #[must_use]
-    pub const fn looked_at(&self) -> u64 {
-        self.looked_at
+    pub const fn examined_stages(&self) -> u64 {
+        self.examined_stages
     }
 
     /// Jobs that are not released.
     #[must_use]
-    pub fn jobs(&self) -> usize {
+    pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
@@ -310,7 +316,7 @@
         for index in job.used_up(now, is_shared) {
             let stage = &mut job.stages[index];
             stage.is_freed = true;
-            self.events.push(JobEvent::Dropped(id, index));
+            self.events.push(JobEvent::ResultsDropped(id, index));
             let order = &stage.order;
             freed.push((
                 order.service.clone(),
@@ -334,15 +340,18 @@
         else {
             return;
         };
-        let frees = self.frees.entry(server.clone()).or_insert_with(|| Frees {
-            server: server.clone(),
-            address: *address,
-            service: service.clone(),
-            handles: Vec::new(),
-            room_bytes: 0,
-        });
+        let frees = self
+            .frees
+            .entry(server.clone())
+            .or_insert_with(|| FreeRequest {
+                server: server.clone(),
+                address: *address,
+                service: service.clone(),
+                handles: Vec::new(),
+                total_bytes: 0,
+            });
         frees.handles.push(handle.clone());
-        frees.room_bytes += result_bytes;
+        frees.total_bytes += result_bytes;
     }
 
     fn fail(&mut self, id: JobId, failure: JobFailure) {
--- a/crates/core/src/process/batcher/ends.rs
+++ b/crates/core/src/process/batcher/ends.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use crate::id::ResultHandle;
-use crate::process::ToldLoad;
+use crate::process::ServerLoad;
 
 use super::job::PieceState;
 use super::{
-    BatchEnd, BatchId, Batcher, JobEvent, JobFailure, JobId, KeptPiece, PieceEnd, PieceRef,
+    BatchEnd, BatchId, Batcher, JobEvent, JobFailure, JobId, PieceEnd, PieceRef, RetainedResult,
     RunningBatch, RunningPiece,
 };
 
@@ -33,7 +33,7 @@
         &mut self,
         id: BatchId,
         end: BatchEnd,
-        told: Option<ToldLoad>,
+        told: Option<ServerLoad>,
         now: Duration,
     ) {
         let Some(batch) = self.batches.remove(&id) else {
@@ -41,10 +41,10 @@
         };
         self.account_server(&batch, &end, now);
         self.account_others(&batch, &end, told, now);
-        if end == BatchEnd::CutOff {
+        if end == BatchEnd::ConnectionLost {
             self.note_cut_off(&batch);
         }
-        if matches!(end, BatchEnd::Lost | BatchEnd::CutOff)
+        if matches!(end, BatchEnd::NoAnswer | BatchEnd::ConnectionLost)
             && let Some(pool) = self.pools.get_mut(&batch.service)
         {
             let bytes = batch.pieces.iter().map(|piece| piece.result_bytes).sum();
@@ -52,22 +52,22 @@
         }
         let ends = match end {
             BatchEnd::Pieces(ends) if ends.len() == batch.pieces.len() => ends,
-            BatchEnd::NotSent | BatchEnd::Full | BatchEnd::OtherServer => {
+            BatchEnd::NotSent | BatchEnd::Rejected | BatchEnd::OtherServer => {
                 for running in &batch.pieces {
                     self.wait_again(&batch, *running, false, now);
                     self.place_in_queues(running.piece.job);
                 }
                 return;
             }
-            BatchEnd::Pieces(_) | BatchEnd::Lost | BatchEnd::CutOff => {
+            BatchEnd::Pieces(_) | BatchEnd::NoAnswer | BatchEnd::ConnectionLost => {
                 vec![PieceEnd::Failed; batch.pieces.len()]
             }
         };
         let unknown_bytes = unknown_bytes(&batch, &ends);
         let mut touched: Vec<JobId> = Vec::new();
-        let mut kept: BTreeMap<JobId, Vec<KeptPiece>> = BTreeMap::new();
+        let mut kept: BTreeMap<JobId, Vec<RetainedResult>> = BTreeMap::new();
         for (piece, end) in batch.pieces.iter().zip(ends) {
-            if let PieceEnd::Made(handle) = &end {
+            if let PieceEnd::Completed(handle) = &end {
                 let made = kept_piece(&batch, piece.piece, handle);
                 kept.entry(piece.piece.job).or_default().push(made);
             }
@@ -81,7 +81,7 @@
         }
         let made = kept.into_iter();
         self.events
-            .extend(made.map(|(job, pieces)| JobEvent::Made(job, pieces)));
+            .extend(made.map(|(job, pieces)| JobEvent::ResultsStored(job, pieces)));
         for job in touched {
             self.free_used(job, now);
             self.advance(job, now);
@@ -102,7 +102,7 @@
             };
             job.cut_off_at.insert(batch.server.clone());
             let is_given_up = job.cut_off_at.len() >= MOST_CUT_OFF;
-            let told = JobEvent::CutOff(id, batch.server.clone(), batch.address);
+            let told = JobEvent::ConnectionLost(id, batch.server.clone(), batch.address);
             self.events.push(told);
             if is_given_up {
                 self.fail(id, JobFailure::Failing);
@@ -126,8 +126,10 @@
                 server.answered(elapsed / expected.max(0.001), now);
             }
             // Its entry or its zone says why; the next list of servers leaves it out.
-            BatchEnd::NotSent | BatchEnd::Full => server.busy_until = now + FULL_PAUSE,
-            BatchEnd::OtherServer | BatchEnd::Lost | BatchEnd::CutOff => server.lost(now),
+            BatchEnd::NotSent | BatchEnd::Rejected => server.busy_until = now + FULL_PAUSE,
+            BatchEnd::OtherServer | BatchEnd::NoAnswer | BatchEnd::ConnectionLost => {
+                server.lost(now);
+            }
         }
     }
 
@@ -140,15 +142,15 @@
         &mut self,
         batch: &RunningBatch,
         end: &BatchEnd,
-        told: Option<ToldLoad>,
+        told: Option<ServerLoad>,
         now: Duration,
     ) {
         let others = told.map_or(0, |told| told.running + told.waiting);
-        let is_gone = |end: &PieceEnd| *end == PieceEnd::InputGone;
+        let is_gone = |end: &PieceEnd| *end == PieceEnd::InputMissing;
         let has_gone = matches!(end, BatchEnd::Pieces(ends) if ends.iter().any(is_gone));
         // A single result may be gone for other reasons; a call that waited for its turn is slow.
         let has_waited = has_gone && self.was_slow(batch, now);
-        if others == 0 && !has_waited && *end != BatchEnd::Full {
+        if others == 0 && !has_waited && *end != BatchEnd::Rejected {
             return;
         }
         self.shared_until = now + SHARED_FOR;
@@ -179,7 +181,7 @@
     ) {
         let piece = running.piece;
         match end {
-            PieceEnd::Made(handle) => {
+            PieceEnd::Completed(handle) => {
                 let made = PieceState::Made {
                     handle,
                     server: batch.server.clone(),
@@ -191,9 +193,9 @@
                 self.drop_reservation(batch, running);
                 self.fail(piece.job, JobFailure::Late);
             }
-            PieceEnd::NoRoom => self.wait_again(batch, running, false, now),
+            PieceEnd::StorageFull => self.wait_again(batch, running, false, now),
             PieceEnd::Failed => self.wait_again(batch, running, true, now),
-            PieceEnd::InputGone => {
+            PieceEnd::InputMissing => {
                 self.put_back(batch, running, true);
                 self.remake_inputs(piece, now);
             }
@@ -263,7 +265,7 @@
 
     pub(super) fn has_freed_inputs(&self, piece: PieceRef) -> bool {
         self.jobs.get(&piece.job).is_some_and(|job| {
-            let after = &job.stages[piece.stage].order.after;
+            let after = &job.stages[piece.stage].order.depends_on;
             after
                 .iter()
                 .any(|index| job.stages[*index].has_lost_results())
@@ -291,7 +293,7 @@
         let mut freed = Vec::new();
         for index in remade {
             let stage = &mut job.stages[index];
-            self.events.push(JobEvent::Dropped(piece.job, index));
+            self.events.push(JobEvent::ResultsDropped(piece.job, index));
             let waiting = vec![PieceState::Waiting; stage.pieces.len()];
             let made = std::mem::replace(&mut stage.pieces, waiting);
             stage.is_queued = false;
@@ -308,8 +310,8 @@
     }
 }
 
-fn kept_piece(batch: &RunningBatch, piece: PieceRef, handle: &ResultHandle) -> KeptPiece {
-    KeptPiece {
+fn kept_piece(batch: &RunningBatch, piece: PieceRef, handle: &ResultHandle) -> RetainedResult {
+    RetainedResult {
         stage: piece.stage,
         piece: piece.piece,
         handle: handle.clone(),
@@ -322,11 +324,11 @@
 /// Room that a call found taken, if it found too little: what was free when it began is what it
 /// could fill, and no more, and what became free since is known to be free.
 fn unknown_bytes(batch: &RunningBatch, ends: &[PieceEnd]) -> Option<u64> {
-    if !ends.contains(&PieceEnd::NoRoom) {
+    if !ends.contains(&PieceEnd::StorageFull) {
         return None;
     }
     let pieces = batch.pieces.iter().zip(ends);
-    let made = pieces.filter(|(_, end)| matches!(end, PieceEnd::Made(_)));
+    let made = pieces.filter(|(_, end)| matches!(end, PieceEnd::Completed(_)));
     let made_bytes = made.map(|(piece, _)| piece.result_bytes).sum();
     Some(batch.free_bytes.saturating_sub(made_bytes))
 }
--- a/crates/core/src/process/batcher/estimate.rs
+++ b/crates/core/src/process/batcher/estimate.rs
@@ -5,7 +5,7 @@
 
 use super::job::put_off;
 use super::kept::open_pieces;
-use super::{Batcher, JobFailure, JobRefused, PipelineOrder, StageOrder};
+use super::{Batcher, JobFailure, JobRefusal, JobSpec, StageSpec};
 use crate::id::ServiceId;
 
 /// Part of the time left that a late request may need: beyond it, it is likely to be in vain.
@@ -32,9 +32,9 @@
     /// Works out a job's starts, or refuses what cannot be done in time.
     pub(super) fn outlook(
         &mut self,
-        order: &PipelineOrder,
+        order: &JobSpec,
         now: Duration,
-    ) -> Result<Outlook, JobRefused> {
+    ) -> Result<Outlook, JobRefusal> {
         self.open_work.refresh(self.jobs.values(), now);
         let whole = order;
         let order = &still_to_make(whole);
@@ -48,7 +48,7 @@
         let whole_work = work.iter().sum();
         let worth = self
             .worth
-            .relative(&order.route, order.worth_tokens, whole_work);
+            .relative(&order.route, order.value_tokens, whole_work);
         let put_off = put_off(order.rank, worth);
         let waits = order
             .stages
@@ -57,7 +57,7 @@
             .map(|(stage, start)| self.backlog(&stage.service, *start + put_off, now));
         let waits: Vec<_> = waits.collect();
         let done = done_at(order, &calls, &waits, now);
-        let is_late = done + order.engine_time > now + order.aim_left;
+        let is_late = done + order.engine_time > now + order.target_latency_left;
         if is_late {
             self.check_late(order, &calls, now)?;
         }
@@ -72,7 +72,7 @@
     }
 
     /// Server time that a stage's pieces take in full batches.
-    fn work_of(&self, stage: &StageOrder) -> Duration {
+    fn work_of(&self, stage: &StageSpec) -> Duration {
         let spec = self.pools.get(&stage.service).and_then(|pool| pool.spec);
         let Some(spec) = spec else {
             return Duration::ZERO;
@@ -85,10 +85,10 @@
     /// Refuses a late job that would not be done in what the others leave over.
     fn check_late(
         &self,
-        order: &PipelineOrder,
+        order: &JobSpec,
         calls: &[Duration],
         now: Duration,
-    ) -> Result<(), JobRefused> {
+    ) -> Result<(), JobRefusal> {
         let waits = order
             .stages
             .iter()
@@ -98,19 +98,19 @@
         let allowed = order
             .deadline_left
             .mul_f64(LATE_PART)
-            .min(order.aim_left + order.aim.mul_f64(LATE_AIMS - 1.0));
+            .min(order.target_latency_left + order.target_latency.mul_f64(LATE_AIMS - 1.0));
         if done + order.engine_time <= now + allowed {
             return Ok(());
         }
-        let excess = (done + order.engine_time).saturating_sub(now + order.aim_left);
-        Err(JobRefused {
+        let excess = (done + order.engine_time).saturating_sub(now + order.target_latency_left);
+        Err(JobRefusal {
             retry_after: excess.clamp(SHORTEST_RETRY, LONGEST_RETRY),
             reason: JobFailure::Late,
         })
     }
 
     /// Notes the work that a job brings, for what later jobs may expect.
-    fn note_arrival(&mut self, order: &PipelineOrder, now: Duration) {
+    fn note_arrival(&mut self, order: &JobSpec, now: Duration) {
         for stage in &order.stages {
             let Some(pool) = self.pools.get_mut(&stage.service) else {
                 continue;
@@ -121,16 +121,12 @@
     }
 
     /// Expected time of one call of each stage.
-    fn call_times(
-        &self,
-        order: &PipelineOrder,
-        now: Duration,
-    ) -> Result<Vec<Duration>, JobRefused> {
-        let no_server = JobRefused {
+    fn call_times(&self, order: &JobSpec, now: Duration) -> Result<Vec<Duration>, JobRefusal> {
+        let no_server = JobRefusal {
             retry_after: SHORTEST_RETRY,
             reason: JobFailure::NoServer,
         };
-        let time_of = |stage: &StageOrder| {
+        let time_of = |stage: &StageSpec| {
             if stage.pieces == 0 {
                 return Ok(Duration::ZERO);
             }
@@ -157,8 +153,8 @@
 }
 
 /// An order without the pieces that are kept.
-fn still_to_make(order: &PipelineOrder) -> Cow<'_, PipelineOrder> {
-    if order.kept.is_empty() {
+fn still_to_make(order: &JobSpec) -> Cow<'_, JobSpec> {
+    if order.retained.is_empty() {
         return Cow::Borrowed(order);
     }
     let mut left = order.clone();
@@ -169,15 +165,10 @@
 }
 
 /// When the last stage is done, if each service first works off what goes before.
-fn done_at(
-    order: &PipelineOrder,
-    calls: &[Duration],
-    waits: &[Duration],
-    now: Duration,
-) -> Duration {
+fn done_at(order: &JobSpec, calls: &[Duration], waits: &[Duration], now: Duration) -> Duration {
     let mut done = vec![now; order.stages.len()];
     for (index, stage) in order.stages.iter().enumerate() {
-        let inputs = stage.after.iter().filter_map(|after| done.get(*after));
+        let inputs = stage.depends_on.iter().filter_map(|after| done.get(*after));
         let inputs_at = inputs.max().copied().unwrap_or(now);
         done[index] = if stage.pieces == 0 {
             inputs_at
@@ -190,12 +181,12 @@
 }
 
 /// Latest start of each stage that still meets the aim.
-fn latest_starts(order: &PipelineOrder, calls: &[Duration], now: Duration) -> Vec<Duration> {
-    let aim_at = (now + order.aim_left).saturating_sub(order.engine_time);
+fn latest_starts(order: &JobSpec, calls: &[Duration], now: Duration) -> Vec<Duration> {
+    let aim_at = (now + order.target_latency_left).saturating_sub(order.engine_time);
     let mut starts = vec![aim_at; order.stages.len()];
     for index in (0..order.stages.len()).rev() {
         let needing = order.stages.iter().enumerate();
-        let needing = needing.filter(|(_, stage)| stage.after.contains(&index));
+        let needing = needing.filter(|(_, stage)| stage.depends_on.contains(&index));
         let end = needing
             .map(|(later, _)| starts[later])
             .min()
--- a/crates/core/src/process/batcher/fill.rs
+++ b/crates/core/src/process/batcher/fill.rs
@@ -193,7 +193,7 @@
             address: state.address,
             zone: state.zone.clone(),
             items,
-            patience: expected.mul_f64(PATIENCE_FACTOR) + PATIENCE_MARGIN,
+            timeout: expected.mul_f64(PATIENCE_FACTOR) + PATIENCE_MARGIN,
         };
         let running = RunningBatch {
             service: service.clone(),
@@ -268,7 +268,7 @@
                 break;
             }
         }
-        self.looked_at += u64::try_from(looked_at).unwrap_or(u64::MAX);
+        self.examined_stages += u64::try_from(looked_at).unwrap_or(u64::MAX);
         chosen
     }
 
--- a/crates/core/src/process/batcher/job.rs
+++ b/crates/core/src/process/batcher/job.rs
@@ -6,7 +6,7 @@
 
 use super::estimate::Outlook;
 use super::queue::Entry;
-use super::{BatchItem, PieceInput, PipelineOrder, StageOrder, StageTimes};
+use super::{BatchItem, JobSpec, PieceInput, StageSpec, StageTimes};
 use crate::id::{ResultHandle, ServerIncarnation};
 use crate::process::Rank;
 
@@ -72,7 +72,7 @@
 /// One stage of a job.
 #[derive(Debug)]
 pub(super) struct StageState {
-    pub(super) order: StageOrder,
+    pub(super) order: StageSpec,
     pub(super) pieces: Vec<PieceState>,
     /// Latest start of its calls that still meets the aim.
     pub(super) latest_start: Duration,
@@ -133,7 +133,7 @@
 /// One request's work.
 #[derive(Debug)]
 pub(super) struct Job {
-    pub(super) order: PipelineOrder,
+    pub(super) order: JobSpec,
     pub(super) stages: Vec<StageState>,
     pub(super) deadline_at: Duration,
     /// When it is given up unless it has begun: by then its caller had better come back.
@@ -156,7 +156,7 @@
 }
 
 impl Job {
-    pub(super) fn new(order: PipelineOrder, outlook: Outlook, now: Duration) -> Self {
+    pub(super) fn new(order: JobSpec, outlook: Outlook, now: Duration) -> Self {
         let stages = order.stages.iter().zip(outlook.latest_starts);
         let stages = stages
             .map(|(order, latest_start)| StageState {
@@ -171,7 +171,9 @@
             .collect();
         Self {
             deadline_at: now + order.deadline_left,
-            held_until: now + order.aim_left + order.aim.mul_f64(HELD_AIMS - 1.0),
+            held_until: now
+                + order.target_latency_left
+                + order.target_latency.mul_f64(HELD_AIMS - 1.0),
             path_time: outlook.path_time,
             put_off: outlook.put_off,
             is_late: outlook.is_late,
@@ -294,7 +296,7 @@
     pub(super) fn startable(&self) -> Vec<usize> {
         let is_ready = |index: &usize| {
             let stage = &self.stages[*index];
-            let inputs = stage.order.after.iter();
+            let inputs = stage.order.depends_on.iter();
             !stage.is_queued && inputs.copied().all(|after| self.stages[after].is_done())
         };
         (0..self.stages.len()).filter(is_ready).collect()
@@ -307,7 +309,7 @@
     /// Takes stages out of their queues whose inputs are not all made any more.
     pub(super) fn wait_for_inputs(&mut self) {
         for index in 0..self.stages.len() {
-            let inputs = self.stages[index].order.after.iter();
+            let inputs = self.stages[index].order.depends_on.iter();
             let is_ready = inputs.copied().all(|input| self.stages[input].is_done());
             if self.stages[index].has_waiting() && !is_ready {
                 self.stages[index].is_queued = false;
@@ -344,10 +346,10 @@
 
     /// Stages whose results a stage needs anew: its inputs, and theirs where they are freed.
     pub(super) fn stages_to_remake(&self, stage: usize) -> Vec<usize> {
-        let mut remade = self.stages[stage].order.after.clone();
+        let mut remade = self.stages[stage].order.depends_on.clone();
         let mut looked_at = 0;
         while let Some(index) = remade.get(looked_at).copied() {
-            let inputs = self.stages[index].order.after.iter();
+            let inputs = self.stages[index].order.depends_on.iter();
             let freed = inputs.filter(|input| self.stages[**input].has_lost_results());
             let freed: Vec<_> = freed
                 .copied()
@@ -360,7 +362,7 @@
     }
 
     pub(super) fn item(&self, stage: usize, piece: usize, now: Duration) -> BatchItem {
-        let after = &self.stages[stage].order.after;
+        let after = &self.stages[stage].order.depends_on;
         let results: Vec<_> = after
             .iter()
             .flat_map(|index| self.results(*index))
@@ -374,14 +376,14 @@
             call: self.order.call.clone(),
             stage,
             piece,
-            left: self.deadline_at.saturating_sub(now),
+            deadline_left: self.deadline_at.saturating_sub(now),
             input,
         }
     }
 
     /// The server that keeps most of a stage's inputs.
     pub(super) fn input_server(&self, stage: usize) -> Option<&ServerIncarnation> {
-        let after = &self.stages[stage].order.after;
+        let after = &self.stages[stage].order.depends_on;
         let pieces = after.iter().flat_map(|index| &self.stages[*index].pieces);
         let mut servers = pieces.filter_map(|piece| match piece {
             PieceState::Made { server, .. } => Some(server),
@@ -392,7 +394,7 @@
 
     /// Bytes of a stage's inputs.
     pub(super) fn input_bytes(&self, stage: usize) -> u64 {
-        let after = self.stages[stage].order.after.iter();
+        let after = self.stages[stage].order.depends_on.iter();
         let bytes = after.map(|index| {
             let order = &self.stages[*index].order;
             order.result_bytes * u64::try_from(order.pieces).unwrap_or(0)
@@ -401,7 +403,7 @@
     }
 
     fn needing(&self, index: usize) -> impl Iterator<Item = &StageState> {
-        let needs = move |stage: &&StageState| stage.order.after.contains(&index);
+        let needs = move |stage: &&StageState| stage.order.depends_on.contains(&index);
         self.stages.iter().filter(needs)
     }
 
--- a/crates/core/src/process/batcher/kept.rs
+++ b/crates/core/src/process/batcher/kept.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::job::PieceState;
-use super::{Batcher, JobId, PipelineOrder, StageOrder};
+use super::{Batcher, JobId, JobSpec, StageSpec};
 use crate::id::{ResultHandle, ServerIncarnation};
 
 /// Time that a kept result must have left: two calls, so that it is read before it lapses.
@@ -20,7 +20,7 @@
 /// One result that a server keeps.
 #[serde_with::serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptPiece {
+pub struct RetainedResult {
     /// Stage of its route.
     pub stage: usize,
     /// Number of the piece within the stage.
@@ -39,18 +39,18 @@
 
 impl Batcher {
     /// Leaves those results in an order that can still be used here.
-    pub(super) fn keep_usable(&self, order: &mut PipelineOrder) {
-        let mut kept = std::mem::take(&mut order.kept);
+    pub(super) fn keep_usable(&self, order: &mut JobSpec) {
+        let mut kept = std::mem::take(&mut order.retained);
         kept.retain(|piece| {
             let stage = order.stages.get(piece.stage);
             stage.is_some_and(|stage| piece.piece < stage.pieces && self.is_usable(piece, stage))
         });
         kept.sort_by_key(|piece| (piece.stage, piece.piece));
         kept.dedup_by_key(|piece| (piece.stage, piece.piece));
-        order.kept = kept;
+        order.retained = kept;
     }
 
-    fn is_usable(&self, piece: &KeptPiece, stage: &StageOrder) -> bool {
+    fn is_usable(&self, piece: &RetainedResult, stage: &StageSpec) -> bool {
         let Some(pool) = self.pools.get(&stage.service) else {
             return false;
         };
@@ -65,11 +65,11 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if job.order.kept.is_empty() {
+        if job.order.retained.is_empty() {
             return;
         }
         let open = open_pieces(&job.order);
-        for kept in std::mem::take(&mut job.order.kept) {
+        for kept in std::mem::take(&mut job.order.retained) {
             let stage = &mut job.stages[kept.stage];
             if let Some(pool) = self.pools.get_mut(&stage.order.service) {
                 pool.reserve(&kept.server, stage.order.result_bytes);
@@ -91,17 +91,17 @@
 /// Pieces of each stage that are still to be made, where some results are kept.
 ///
 /// A stage whose results were all read needs none: the stages after it are made.
-pub(super) fn open_pieces(order: &PipelineOrder) -> Vec<usize> {
+pub(super) fn open_pieces(order: &JobSpec) -> Vec<usize> {
     let mut open: Vec<_> = order.stages.iter().map(|stage| stage.pieces).collect();
-    for kept in &order.kept {
+    for kept in &order.retained {
         open[kept.stage] = open[kept.stage].saturating_sub(1);
     }
     for index in (0..open.len()).rev() {
         let stages = order.stages.iter().enumerate();
         let mut needing = stages
-            .filter(|(_, stage)| stage.after.contains(&index))
+            .filter(|(_, stage)| stage.depends_on.contains(&index))
             .peekable();
-        let is_made = |(later, stage): (usize, &StageOrder)| stage.pieces > 0 && open[later] == 0;
+        let is_made = |(later, stage): (usize, &StageSpec)| stage.pieces > 0 && open[later] == 0;
         if needing.peek().is_some() && needing.all(is_made) {
             open[index] = 0;
         }
--- a/crates/core/src/process/batcher/lives.rs
+++ b/crates/core/src/process/batcher/lives.rs
@@ -31,7 +31,7 @@
         let lost: Vec<_> = open.map(|(id, _)| *id).collect();
         for id in lost {
             // Its end may come much later, as behind a cut; what it says then is of no use.
-            self.batch_ended(id, BatchEnd::CutOff, None, now);
+            self.batch_ended(id, BatchEnd::ConnectionLost, None, now);
         }
         let jobs: Vec<_> = self.jobs.keys().copied().collect();
         for id in jobs {
--- a/crates/core/src/process/batcher/message.rs
+++ b/crates/core/src/process/batcher/message.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::KeptPiece;
+use super::RetainedResult;
 use crate::id::{CallId, ResultHandle, RouteId, ServerIncarnation, ServiceId, ZoneId};
 use crate::process::{Cell, Rank};
 
@@ -17,11 +17,12 @@
 
 /// The pieces that one stage of a request has.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct StageOrder {
+pub struct StageSpec {
     /// Service that makes them.
     pub service: ServiceId,
     /// Stages whose results they need.
-    pub after: Vec<usize>,
+    #[serde(rename = "after")]
+    pub depends_on: Vec<usize>,
     /// How many; none leaves the stage out.
     pub pieces: usize,
     /// Usual size of one result.
@@ -31,7 +32,7 @@
 /// The work that is done before a request runs at its engine.
 #[serde_with::serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct PipelineOrder {
+pub struct JobSpec {
     /// The caller's send.
     pub call: CallId,
     /// The route that the request came on.
@@ -41,19 +42,20 @@
     /// The caller's key of the pieces.
     pub piece_key: String,
     /// All stages of the route, in its order.
-    pub stages: Vec<StageOrder>,
+    pub stages: Vec<StageSpec>,
     /// How urgent it is against others.
     pub rank: Rank,
     /// Worth of the answer against others', in tokens of the engine's work; 0 if not known.
-    pub worth_tokens: u64,
+    #[serde(rename = "worth_tokens")]
+    pub value_tokens: u64,
     /// Time from the caller's send within which the answer is of full worth.
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     #[serde(rename = "aim_ms")]
-    pub aim: Duration,
+    pub target_latency: Duration,
     /// Time left until the results are of full worth no longer.
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     #[serde(rename = "aim_left_ms")]
-    pub aim_left: Duration,
+    pub target_latency_left: Duration,
     /// Time left until they are of no worth.
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     #[serde(rename = "deadline_left_ms")]
@@ -66,14 +68,15 @@
     pub reader_zone: ZoneId,
     /// Results that an earlier owner had made.
     #[serde(default)]
-    pub kept: Vec<KeptPiece>,
+    #[serde(rename = "kept")]
+    pub retained: Vec<RetainedResult>,
 }
 
 /// Time that an engine takes to its first event while nothing better is known.
-pub const USUAL_ENGINE_TIME: Duration = Duration::from_millis(110);
+pub const DEFAULT_ENGINE_TIME: Duration = Duration::from_millis(110);
 
 const fn usual_engine_time() -> Duration {
-    USUAL_ENGINE_TIME
+    DEFAULT_ENGINE_TIME
 }
 
 /// Most pieces of one stage; requests have some ten.
@@ -81,7 +84,7 @@
 /// Most stages of one request.
 const MOST_STAGES: usize = 32;
 
-impl PipelineOrder {
+impl JobSpec {
     /// Whether its stages can be.
     ///
     /// Guards against a caller that asks for a number of pieces which would take all memory, and
@@ -91,10 +94,10 @@
         let mut stages = self.stages.iter().enumerate();
         self.cell.is_well_formed()
             && self.stages.len() <= MOST_STAGES
-            && self.kept.len() <= MOST_STAGES * MOST_PIECES
+            && self.retained.len() <= MOST_STAGES * MOST_PIECES
             && stages.all(|(index, stage)| {
                 let comes_before = |after: &usize| *after < index;
-                stage.pieces <= MOST_PIECES && stage.after.iter().all(comes_before)
+                stage.pieces <= MOST_PIECES && stage.depends_on.iter().all(comes_before)
             })
     }
 }
@@ -109,7 +112,7 @@
     /// Number of the piece within the stage.
     pub piece: usize,
     /// Time left for it.
-    pub left: Duration,
+    pub deadline_left: Duration,
     /// Key for the first stages, results of earlier pieces for the others.
     pub input: PieceInput,
 }
@@ -139,20 +142,20 @@
     /// Pieces to make.
     pub items: Vec<BatchItem>,
     /// Time after which the call is given up.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// How one piece of a call ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PieceEnd {
     /// The result and its handle.
-    Made(ResultHandle),
+    Completed(ResultHandle),
     /// Its time was over at its turn.
     Late,
     /// A result that it needs is gone.
-    InputGone,
+    InputMissing,
     /// The server has no room for its result.
-    NoRoom,
+    StorageFull,
     /// The server failed.
     Failed,
 }
@@ -165,13 +168,13 @@
     /// Nothing was sent: the server may be used no longer.
     NotSent,
     /// The server did not take the call.
-    Full,
+    Rejected,
     /// The address has another server now.
     OtherServer,
     /// No answer came: the call may have run.
-    Lost,
+    NoAnswer,
     /// The connection ended after the call was sent: the server may have ended with it.
-    CutOff,
+    ConnectionLost,
 }
 
 /// What became of a job.
@@ -182,11 +185,11 @@
     /// The job cannot be done.
     Failed(JobId, JobFailure),
     /// A call with some of its pieces was cut off at a server.
-    CutOff(JobId, ServerIncarnation, SocketAddr),
+    ConnectionLost(JobId, ServerIncarnation, SocketAddr),
     /// Some pieces are made; their age counts from now.
-    Made(JobId, Vec<KeptPiece>),
+    ResultsStored(JobId, Vec<RetainedResult>),
     /// A stage's results are freed, or are to be made anew.
-    Dropped(JobId, usize),
+    ResultsDropped(JobId, usize),
 }
 
 /// Where one stage's time went.
@@ -227,7 +230,7 @@
 
 /// A job that is not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct JobRefused {
+pub struct JobRefusal {
     /// Time after which there may be place.
     pub retry_after: Duration,
     /// Why.
@@ -236,7 +239,7 @@
 
 /// Results that a server may drop.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Frees {
+pub struct FreeRequest {
     /// The server that keeps them.
     pub server: ServerIncarnation,
     /// Where it listens.
@@ -246,5 +249,5 @@
     /// Their names.
     pub handles: Vec<ResultHandle>,
     /// Room that they take.
-    pub room_bytes: u64,
+    pub total_bytes: u64,
 }
--- a/crates/core/src/process/batcher/pool_state.rs
+++ b/crates/core/src/process/batcher/pool_state.rs
@@ -8,9 +8,9 @@
 use crate::id::{ServerIncarnation, ZoneId};
 use crate::process::count::as_f64;
 use crate::process::recent_sends::RecentSends;
-use crate::process::send_share::{SendBound, SendShare};
+use crate::process::send_share::{SendRateLimit, SendShare};
+use crate::process::server_availability::ServerAvailability;
 use crate::process::server_list::ServerRecord;
-use crate::process::server_use::ServerUse;
 use crate::version::BatchSpec;
 
 /// Part of the room that is used: sizes of results are approximate.
@@ -44,7 +44,7 @@
     pub(super) busy_until: Duration,
     pub(super) out_until: Duration,
     /// What may be sent to it; one of an evacuated zone keeps its account for when it is taken back.
-    pub(super) server_use: ServerUse,
+    pub(super) server_availability: ServerAvailability,
     losses: u32,
     used_bytes: u64,
     /// Room that results of others took when the server last had none left.
@@ -55,14 +55,14 @@
 }
 
 impl StageServer {
-    fn new(record: &ServerRecord, server_use: ServerUse) -> Self {
+    fn new(record: &ServerRecord, server_availability: ServerAvailability) -> Self {
         Self {
             address: record.address,
             zone: record.zone.clone(),
             calls: 0,
             busy_until: Duration::ZERO,
             out_until: Duration::ZERO,
-            server_use,
+            server_availability,
             losses: 0,
             used_bytes: 0,
             others_bytes: 0,
@@ -91,17 +91,19 @@
 
     /// The owner's share of its calls while it is cold or names a limit.
     fn send_share(&self, now: Duration) -> Option<SendShare> {
-        let bound = match self.server_use {
-            ServerUse::Cold { until, .. } if until <= now => None,
-            server_use => server_use.bound(),
+        let bound = match self.server_availability {
+            ServerAvailability::Cold { until, .. } if until <= now => None,
+            server_availability => server_availability.rate_limit(),
         };
-        bound.map(SendBound::share_of_owner)
+        bound.map(SendRateLimit::share_of_owner)
     }
 
     /// Part of a server's usual calls that it takes, by its limit.
     fn part_by_limit(&self, usual_call: Duration) -> f64 {
-        match self.server_use {
-            ServerUse::Limited { most_per_s } => (most_per_s * usual_call.as_secs_f64()).min(1.0),
+        match self.server_availability {
+            ServerAvailability::Limited { max_per_s } => {
+                (max_per_s * usual_call.as_secs_f64()).min(1.0)
+            }
             _ => 1.0,
         }
     }
@@ -184,16 +186,16 @@
     }
 
     /// Servers that are gone or leave drop out of the account; their calls end by themselves.
-    pub(super) fn set_servers(&mut self, listed: &[(&ServerRecord, ServerUse)]) {
+    pub(super) fn set_servers(&mut self, listed: &[(&ServerRecord, ServerAvailability)]) {
         self.servers
-            .retain(|id, _| listed.iter().any(|(record, _)| record.life == *id));
-        for (record, server_use) in listed {
+            .retain(|id, _| listed.iter().any(|(record, _)| record.incarnation == *id));
+        for (record, server_availability) in listed {
             self.servers
-                .entry(record.life.clone())
-                .or_insert_with(|| StageServer::new(record, *server_use))
-                .server_use = *server_use;
+                .entry(record.incarnation.clone())
+                .or_insert_with(|| StageServer::new(record, *server_availability))
+                .server_availability = *server_availability;
         }
-        let is_bounded = |server: &StageServer| server.server_use.bound().is_some();
+        let is_bounded = |server: &StageServer| server.server_availability.rate_limit().is_some();
         let servers = &self.servers;
         self.recent_sends
             .retain(|life| servers.get(life).is_some_and(is_bounded));
@@ -202,7 +204,7 @@
     /// Whether operators have evacuated the zones of all its servers.
     pub(super) fn is_evacuated(&self) -> bool {
         let mut servers = self.servers.values();
-        !self.servers.is_empty() && servers.all(|server| !server.server_use.is_usable())
+        !self.servers.is_empty() && servers.all(|server| !server.server_availability.is_usable())
     }
 
     /// Counts a call to a server, if its calls are bounded.
@@ -261,7 +263,7 @@
         let is_free = move |server: &StageServer| server.calls < slots && server.busy_until <= now;
         let has_share = move |life: &ServerIncarnation, server: &StageServer| {
             let share = server.send_share(now);
-            share.is_none_or(|share| self.recent_sends.may_send(life, share, now))
+            share.is_none_or(|share| self.recent_sends.can_send(life, share, now))
         };
         let in_use = self.in_use(now);
         in_use.filter(move |(life, server)| is_free(server) && has_share(life, server))
@@ -273,7 +275,9 @@
         now: Duration,
     ) -> impl Iterator<Item = (&ServerIncarnation, &StageServer)> {
         let servers = self.servers.iter();
-        servers.filter(move |(_, server)| server.out_until <= now && server.server_use.is_usable())
+        servers.filter(move |(_, server)| {
+            server.out_until <= now && server.server_availability.is_usable()
+        })
     }
 }
 
--- a/crates/core/src/process/cell.rs
+++ b/crates/core/src/process/cell.rs
@@ -36,7 +36,7 @@
 
 impl Cell {
     /// The only cell of a deployment that is not split.
-    pub const WHOLE: Self = Self { index: 0, of: 1 };
+    pub const SINGLE: Self = Self { index: 0, of: 1 };
 
     /// The cell that makes a request's pieces, among so many.
     #[must_use]
@@ -63,7 +63,7 @@
 
     /// Whether it is the only one.
     #[must_use]
-    pub const fn is_whole(self) -> bool {
+    pub const fn is_single(self) -> bool {
         self.of == 1
     }
 
@@ -87,7 +87,7 @@
         self,
         servers: impl Iterator<Item = &'a ServerRecord>,
     ) -> Vec<&'a ServerRecord> {
-        if self.is_whole() {
+        if self.is_single() {
             return servers.collect();
         }
         let mut services: BTreeMap<&ServiceId, Vec<&ServerRecord>> = BTreeMap::new();
@@ -101,7 +101,7 @@
     }
 
     fn deal(self, mut servers: Vec<&ServerRecord>) -> Vec<&ServerRecord> {
-        servers.sort_by(|a, b| a.life.cmp(&b.life));
+        servers.sort_by(|a, b| a.incarnation.cmp(&b.incarnation));
         let cells = usize::try_from(self.of).unwrap_or(1);
         let most = servers.len().div_ceil(cells);
         let mut taken = vec![0; cells];
@@ -109,7 +109,7 @@
             let has_place = (0..cells).filter(|cell| taken[*cell] < most);
             let score = |cell: &usize| {
                 let seed = u64::try_from(*cell).unwrap_or(0);
-                rendezvous::score(seed, server.life.id().as_str())
+                rendezvous::score(seed, server.incarnation.id().as_str())
             };
             let Some(cell) = has_place.max_by_key(score) else {
                 return false;
--- a/crates/core/src/process/cold_times.rs
+++ b/crates/core/src/process/cold_times.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::cold_terms::ColdTerms;
+use super::cold_limits::ColdLimits;
 use crate::id::ServerId;
 
 /// What servers tell of it, and what is assumed of those that do not.
@@ -43,12 +43,14 @@
     pub(super) fn until(
         &self,
         id: &ServerId,
-        terms: ColdTerms,
+        terms: ColdLimits,
         taken_back_at: Option<Duration>,
     ) -> Option<Duration> {
         let told = self.told_until.get(id).copied();
         let came_at = self.came_untold.get(id).copied();
-        let assumed = came_at.max(taken_back_at).map(|at| at + terms.start);
+        let assumed = came_at
+            .max(taken_back_at)
+            .map(|at| at + terms.cold_duration);
         told.max(assumed)
     }
 
--- a/crates/core/src/process/connection_share.rs
+++ b/crates/core/src/process/connection_share.rs
@@ -46,7 +46,7 @@
 
 impl ConnectionShare {
     /// All servers, without a bound.
-    pub const WHOLE: Self = Self {
+    pub const UNLIMITED: Self = Self {
         servers: usize::MAX,
         connections: usize::MAX,
     };
@@ -86,7 +86,8 @@
         if servers.len() <= self.servers {
             return servers;
         }
-        servers.sort_by_cached_key(|server| Reverse(rendezvous::score(seed, server.life.id())));
+        servers
+            .sort_by_cached_key(|server| Reverse(rendezvous::score(seed, server.incarnation.id())));
         let mut near_left = self.servers / 2;
         let (mut kept, rest): (Vec<_>, Vec<_>) = servers.into_iter().partition(|server| {
             let is_kept = server.zone == *zone && near_left > 0;
--- a/crates/core/src/process/cost_book.rs
+++ b/crates/core/src/process/cost_tracker.rs
@@ -23,23 +23,23 @@
 ///
 /// ```
 /// use amaranthscale_core::id::Incarnation;
-/// use amaranthscale_core::process::CostBook;
+/// use amaranthscale_core::process::CostTracker;
 /// use amaranthscale_core::wire::StageCost;
 ///
-/// let mut book = CostBook::new("host-1".parse().unwrap(), Incarnation::new(9));
+/// let mut book = CostTracker::new("host-1".parse().unwrap(), Incarnation::new(9));
 /// let cost = StageCost { queue_ms: 5, server_ms: 80, tokens: 0 };
 /// book.record(&"delta-basin".parse().unwrap(), "rerank", &cost, true);
 /// let row = book.rows().next().unwrap();
 /// assert_eq!(row.key, "cost/host-1/9/delta-basin/rerank");
 /// ```
 #[derive(Debug)]
-pub struct CostBook {
+pub struct CostTracker {
     host: HostId,
     incarnation: Incarnation,
     totals: BTreeMap<CostKey, CostTotals>,
 }
 
-impl CostBook {
+impl CostTracker {
     /// An empty book of one incarnation.
     #[must_use]
     pub const fn new(host: HostId, incarnation: Incarnation) -> Self {
--- a/crates/core/src/process/prompt_times.rs
+++ b/crates/core/src/process/first_event_estimator.rs
@@ -20,19 +20,19 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use amaranthscale_core::process::PromptTimes;
+/// use amaranthscale_core::process::FirstEventEstimator;
 ///
-/// let mut times = PromptTimes::default();
+/// let mut times = FirstEventEstimator::default();
 /// assert_eq!(times.expected(9_000), None);
 /// for tokens in (1..40).map(|part| part * 1_000) {
-///     times.sample(tokens, Duration::from_millis(50 + tokens / 100));
+///     times.record(tokens, Duration::from_millis(50 + tokens / 100));
 /// }
 /// let expected = times.expected(20_000).ok_or("nothing learnt")?;
 /// assert!(expected.abs_diff(Duration::from_millis(250)) < Duration::from_millis(2));
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 #[derive(Debug, Clone, Copy, Default)]
-pub struct PromptTimes {
+pub struct FirstEventEstimator {
     weight: f64,
     tokens: f64,
     seconds: f64,
@@ -40,9 +40,9 @@
     tokens_seconds: f64,
 }
 
-impl PromptTimes {
+impl FirstEventEstimator {
     /// Takes the time of an answer from the send to its first event.
-    pub fn sample(&mut self, prompt_tokens: u64, time: Duration) {
+    pub fn record(&mut self, prompt_tokens: u64, time: Duration) {
         let (tokens, seconds) = (as_f64(prompt_tokens), time.as_secs_f64());
         let sums = [
             (&mut self.weight, 1.0),
--- a/crates/core/src/process/freshness.rs
+++ b/crates/core/src/process/freshness.rs
@@ -17,9 +17,9 @@
 ///
 /// let mut freshness = Freshness::default();
 /// assert_eq!(freshness.age(Duration::from_secs(9)), None);
-/// freshness.answered(Duration::from_secs(100), Duration::from_secs(10));
+/// freshness.record_answer(Duration::from_secs(100), Duration::from_secs(10));
 /// // An answer that was two seconds on its way is two seconds old when it comes.
-/// freshness.answered(Duration::from_secs(101), Duration::from_secs(13));
+/// freshness.record_answer(Duration::from_secs(101), Duration::from_secs(13));
 /// assert_eq!(freshness.age(Duration::from_secs(13)), Some(Duration::from_secs(2)));
 /// ```
 #[derive(Debug, Clone, Default)]
@@ -30,7 +30,7 @@
 
 impl Freshness {
     /// Takes the store's clock from an answer that has just arrived.
-    pub fn answered(&mut self, store_clock: Duration, now: Duration) {
+    pub fn record_answer(&mut self, store_clock: Duration, now: Duration) {
         let difference = signed_ms(now) - signed_ms(store_clock);
         let ahead_ms = self
             .ahead_ms
--- a/crates/core/src/process/host_track.rs
+++ b/crates/core/src/process/host_track.rs
@@ -122,7 +122,7 @@
                 self.note_answer(now);
                 self.failures += 1;
             }
-            AttemptEnd::Silent => {
+            AttemptEnd::TimedOut => {
                 self.lost_at = Some(now);
                 self.failures += 1;
             }
--- a/crates/core/src/process/instance_view.rs
+++ b/crates/core/src/process/instance_view.rs
@@ -140,7 +140,7 @@
     ///
     /// Guards against an announcement that was removed while nothing was told, as while the store
     /// had lost its history: taken for there, the entry would name itself and all others another.
-    pub fn keep_only(&mut self, ids: &[InstanceId]) {
+    pub fn retain_listed(&mut self, ids: &[InstanceId]) {
         let own = self.own.clone();
         self.instances
             .retain(|id, _| *id == own || ids.contains(id));
@@ -150,7 +150,7 @@
     }
 
     /// Notes that an entry answered.
-    pub fn heard(&mut self, id: &InstanceId) {
+    pub fn mark_responsive(&mut self, id: &InstanceId) {
         if let Some(seen) = self.instances.get_mut(id) {
             seen.silent_since = None;
             seen.passed_over_until = Duration::ZERO;
@@ -158,7 +158,7 @@
     }
 
     /// Notes that an entry did not answer.
-    pub fn silent(&mut self, id: &InstanceId, now: Duration) {
+    pub fn mark_unresponsive(&mut self, id: &InstanceId, now: Duration) {
         if *id == self.own {
             return;
         }
@@ -170,7 +170,7 @@
 
     /// Entries that are passed over, and where they were.
     #[must_use]
-    pub fn passed_over(&self, now: Duration) -> Vec<(InstanceId, SocketAddr)> {
+    pub fn unresponsive(&self, now: Duration) -> Vec<(InstanceId, SocketAddr)> {
         self.addressed(|_, seen| seen.is_passed_over(now))
     }
 
@@ -182,7 +182,7 @@
     /// what was begun.
     #[must_use]
     pub fn displaced(&self, now: Duration) -> Vec<InstanceId> {
-        if *self.owner(Cell::WHOLE, now).0 != self.own {
+        if *self.owner(Cell::SINGLE, now).0 != self.own {
             return Vec::new();
         }
         let Some(own) = self.instances.get(&self.own) else {
@@ -200,13 +200,13 @@
 
     /// Other entries that are not passed over, and where they are.
     #[must_use]
-    pub fn others(&self, now: Duration) -> Vec<(InstanceId, SocketAddr)> {
+    pub fn live_others(&self, now: Duration) -> Vec<(InstanceId, SocketAddr)> {
         self.addressed(|id, seen| *id != self.own && !seen.is_passed_over(now))
     }
 
     /// Entries that nobody here has reached for long.
     #[must_use]
-    pub fn forgotten(&self, now: Duration) -> Vec<InstanceId> {
+    pub fn expired(&self, now: Duration) -> Vec<InstanceId> {
         let is_forgotten = |seen: &Seen| {
             seen.silent_since
                 .is_some_and(|since| now.saturating_sub(since) >= FORGOTTEN_AFTER)
@@ -217,7 +217,7 @@
 
     /// Entries that are not passed over, the entry itself among them.
     #[must_use]
-    pub fn live(&self, now: Duration) -> usize {
+    pub fn live_count(&self, now: Duration) -> usize {
         let is_live = |seen: &&Seen| !seen.is_passed_over(now);
         self.instances.values().filter(is_live).count().max(1)
     }
@@ -252,7 +252,7 @@
             .filter(|(_, seen)| !seen.is_passed_over(now));
         let placed = live.map(|(id, seen)| {
             let by_hash = || Reverse(rendezvous::score(cell.index().into(), id.as_str()));
-            let score = (!cell.is_whole()).then(by_hash);
+            let score = (!cell.is_single()).then(by_hash);
             let (is_unseen, weakness, since, id) = seen.place(id);
             let is_leaving = self.is_leaving && *id == self.own;
             ((is_leaving, is_unseen, weakness, score, since, id), seen)
--- a/crates/core/src/process/keeping_up.rs
+++ b/crates/core/src/process/lag_detector.rs
@@ -15,7 +15,7 @@
 
 /// A change of whether an actor keeps up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pace {
+pub enum LagChange {
     /// It has been behind for a while: it should take no more work.
     FellBehind,
     /// It is in time again.
@@ -28,28 +28,28 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use amaranthscale_core::process::{KeepingUp, Pace};
+/// use amaranthscale_core::process::{LagDetector, LagChange};
 ///
 /// let ms = Duration::from_millis;
-/// let mut keeping_up = KeepingUp::default();
+/// let mut lag_detector = LagDetector::default();
 /// // Due at 1,000 and come to at 1,150: late, but that may be a single pause.
-/// assert_eq!(keeping_up.came(ms(1_000), ms(1_150)), None);
-/// assert_eq!(keeping_up.came(ms(1_300), ms(1_500)), Some(Pace::FellBehind));
-/// assert!(keeping_up.is_behind());
-/// assert_eq!(keeping_up.came(ms(1_510), ms(1_512)), Some(Pace::CaughtUp));
+/// assert_eq!(lag_detector.observe(ms(1_000), ms(1_150)), None);
+/// assert_eq!(lag_detector.observe(ms(1_300), ms(1_500)), Some(LagChange::FellBehind));
+/// assert!(lag_detector.is_behind());
+/// assert_eq!(lag_detector.observe(ms(1_510), ms(1_512)), Some(LagChange::CaughtUp));
 /// ```
 #[derive(Debug, Clone, Copy, Default)]
-pub struct KeepingUp {
+pub struct LagDetector {
     late_since: Option<Duration>,
     is_behind: bool,
 }
 
-impl KeepingUp {
+impl LagDetector {
     /// Takes when something was due and when it was come to.
-    pub fn came(&mut self, due: Duration, now: Duration) -> Option<Pace> {
+    pub fn observe(&mut self, due: Duration, now: Duration) -> Option<LagChange> {
         if now.saturating_sub(due) < BEHIND {
             self.late_since = None;
-            return std::mem::take(&mut self.is_behind).then_some(Pace::CaughtUp);
+            return std::mem::take(&mut self.is_behind).then_some(LagChange::CaughtUp);
         }
         let since = *self.late_since.get_or_insert(now);
         let stands = now.saturating_sub(since) >= STANDS_FOR;
@@ -57,7 +57,7 @@
             return None;
         }
         self.is_behind = true;
-        Some(Pace::FellBehind)
+        Some(LagChange::FellBehind)
     }
 
     /// Whether it has been behind for a while.
--- a/crates/core/src/process/load_meter.rs
+++ b/crates/core/src/process/load_meter.rs
@@ -30,8 +30,8 @@
 /// let queue = FairQueue::new(FairQueueLimits { slots: 4, capacity: 8, paid_reserve_slots: 1 });
 /// let mut meter = LoadMeter::default();
 /// let now = SidecarClock::from_millis(500);
-/// meter.waited(Class::Paid, 30);
-/// meter.served(200, now);
+/// meter.record_wait(Class::Paid, 30);
+/// meter.record_service(200, now);
 /// assert_eq!(meter.report(&queue, now).service_ms, 200);
 /// ```
 #[derive(Debug, Clone, Default)]
@@ -44,7 +44,7 @@
 
 impl LoadMeter {
     /// Takes in how long an attempt waited before it ran.
-    pub fn waited(&mut self, class: Class, queue_ms: u64) {
+    pub fn record_wait(&mut self, class: Class, queue_ms: u64) {
         match class {
             Class::Paid => smooth(&mut self.queue_paid_ms, queue_ms),
             Class::Trial => smooth(&mut self.queue_trial_ms, queue_ms),
@@ -52,7 +52,7 @@
     }
 
     /// Takes in how long an attempt spent at the backend server.
-    pub fn served(&mut self, service_ms: u64, now: SidecarClock) {
+    pub fn record_service(&mut self, service_ms: u64, now: SidecarClock) {
         smooth(&mut self.service_ms, service_ms);
         self.sampled_at = now;
     }
@@ -61,12 +61,12 @@
     ///
     /// Cancelled work took at least that long. Without it only the quick survivors of a slow spell
     /// would be measured, and entries would go on admitting what cannot end in time.
-    pub fn cut_off(&mut self, service_ms: u64, now: SidecarClock) {
+    pub fn record_cancelled(&mut self, service_ms: u64, now: SidecarClock) {
         if self
             .service_ms
             .is_some_and(|smoothed_ms| service_ms > smoothed_ms)
         {
-            self.served(service_ms, now);
+            self.record_service(service_ms, now);
         }
     }
 
--- a/crates/core/src/process/seen_load.rs
+++ b/crates/core/src/process/load_snapshot.rs
@@ -5,26 +5,26 @@
 
 /// The load of a server as a choice saw it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct SeenLoad {
+pub struct LoadSnapshot {
     /// Requests of this entry at the server.
     pub in_flight: usize,
     /// Requests that the server last told of, in work and waiting.
-    pub told: SeenNumber,
+    pub reported: OptionalNumber,
     /// Milliseconds since it told.
-    pub told_age_ms: SeenNumber,
+    pub reported_age_ms: OptionalNumber,
 }
 
 /// A number that may not be known; shown as `-` then.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct SeenNumber(pub Option<u64>);
+pub struct OptionalNumber(pub Option<u64>);
 
-impl SeenNumber {
+impl OptionalNumber {
     pub(super) fn of_ms(time: Duration) -> Self {
         Self(u64::try_from(time.as_millis()).ok())
     }
 }
 
-impl fmt::Display for SeenNumber {
+impl fmt::Display for OptionalNumber {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Some(number) => number.fmt(f),
--- a/crates/core/src/process/quarantine.rs
+++ b/crates/core/src/process/quarantine.rs
@@ -25,7 +25,7 @@
 #[doc(inline)]
 pub use crash_evidence::{CrashEvidence, CrashReport};
 #[doc(inline)]
-pub use lost_runs::{LossStep, LostRuns};
+pub use lost_runs::{LossAction, LostRuns};
 
 use crate::id::{EvidenceId, RequestFingerprint, ServerIncarnation};
 use suspicions::Suspicions;
@@ -49,22 +49,22 @@
 
 /// What is known against a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum QuarantineState {
     /// Nothing.
     Clear,
     /// A server crashed while it ran it.
     Suspected,
     /// Servers crashed under it, almost as many as hold it back: it may be sent to one server at a time.
-    OneAtATime,
+    SingleRun,
     /// So many servers crashed under it: it is sent to no more.
-    Held(usize),
+    Quarantined(usize),
 }
 
 /// A change of what is held back.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum QuarantineChange {
     /// A request is held back from now on.
-    Held(RequestFingerprint, Vec<ServerIncarnation>),
+    Quarantined(RequestFingerprint, Vec<ServerIncarnation>),
     /// A request is held back no more.
     Released(RequestFingerprint),
 }
@@ -82,16 +82,16 @@
 /// ```
 /// use std::time::Duration;
 /// use amaranthscale_core::id::RequestFingerprint;
-/// use amaranthscale_core::process::{CrashEvidence, Quarantine, Verdict};
+/// use amaranthscale_core::process::{CrashEvidence, Quarantine, QuarantineState};
 ///
 /// let request = RequestFingerprint::of(None, "h.example", "/a/", b"body");
 /// let mut quarantine = Quarantine::default();
 /// for number in 0..3 {
 ///     let mut evidence = CrashEvidence::default();
 ///     evidence.add_crash(&format!("s{number}").parse()?, request);
-///     quarantine.take(format!("g1.{number}").parse()?, evidence, Duration::ZERO);
+///     quarantine.add_evidence(format!("g1.{number}").parse()?, evidence, Duration::ZERO);
 /// }
-/// assert_eq!(quarantine.verdict(request, Duration::from_secs(1)), Verdict::Held(3));
+/// assert_eq!(quarantine.state(request, Duration::from_secs(1)), QuarantineState::Quarantined(3));
 /// # Ok::<(), amaranthscale_core::id::InvalidName>(())
 /// ```
 #[derive(Debug, Clone, Default)]
@@ -112,7 +112,7 @@
     }
 
     /// Takes what an entry tells.
-    pub fn take(
+    pub fn add_evidence(
         &mut self,
         id: EvidenceId,
         evidence: CrashEvidence,
@@ -135,7 +135,7 @@
     }
 
     /// Takes evidence back: it was removed.
-    pub fn take_back(&mut self, id: &EvidenceId, now: Duration) -> Vec<QuarantineChange> {
+    pub fn remove_evidence(&mut self, id: &EvidenceId, now: Duration) -> Vec<QuarantineChange> {
         if self.evidence.remove(id).is_none() {
             return Vec::new();
         }
@@ -144,7 +144,7 @@
     }
 
     /// Keeps only evidence that a function names.
-    pub fn keep_only(
+    pub fn retain_evidence(
         &mut self,
         is_kept: impl Fn(&EvidenceId) -> bool,
         now: Duration,
@@ -160,24 +160,24 @@
 
     /// What is known against a request.
     #[must_use]
-    pub fn verdict(&self, request: RequestFingerprint, now: Duration) -> Verdict {
+    pub fn state(&self, request: RequestFingerprint, now: Duration) -> QuarantineState {
         let Some(servers) = self.suspicions.servers.get(&request) else {
-            return Verdict::Clear;
+            return QuarantineState::Clear;
         };
         let since = self.blamed.get(&request);
         let is_held = since.is_some_and(|since| now.saturating_sub(*since) >= CONFIRMED_AFTER);
         if is_held {
-            Verdict::Held(servers.len())
+            QuarantineState::Quarantined(servers.len())
         } else if self.is_close(request) {
-            Verdict::OneAtATime
+            QuarantineState::SingleRun
         } else {
-            Verdict::Suspected
+            QuarantineState::Suspected
         }
     }
 
     /// Whether others are to be told that a request ran to its end, as it could be held back.
     #[must_use]
-    pub fn is_survival_told(&self, request: RequestFingerprint) -> bool {
+    pub fn publishes_survival(&self, request: RequestFingerprint) -> bool {
         self.is_close(request)
     }
 
@@ -200,14 +200,16 @@
 
     /// Evidence that counts no more and may be removed for all.
     #[must_use]
-    pub fn outdated(&self, now: Duration) -> Vec<EvidenceId> {
+    pub fn expired(&self, now: Duration) -> Vec<EvidenceId> {
         let is_old = |taken: &Taken| now.saturating_sub(taken.at) >= RETAINED;
         let old = self.evidence.iter().filter(|(_, taken)| is_old(taken));
         old.map(|(id, _)| id.clone()).collect()
     }
 
     /// Requests that are held back, each with the servers that crashed under it.
-    pub fn held(&self) -> impl Iterator<Item = (RequestFingerprint, &BTreeSet<ServerIncarnation>)> {
+    pub fn quarantined(
+        &self,
+    ) -> impl Iterator<Item = (RequestFingerprint, &BTreeSet<ServerIncarnation>)> {
         let held = self.blamed.keys();
         held.filter_map(|request| Some((*request, self.suspicions.servers.get(request)?)))
     }
@@ -224,7 +226,7 @@
             return;
         }
         self.looked_at = now;
-        let mut forgotten = self.outdated(now);
+        let mut forgotten = self.expired(now);
         if has_too_many {
             forgotten.extend(self.oldest());
         }
@@ -273,7 +275,7 @@
             if let Entry::Vacant(entry) = self.blamed.entry(request) {
                 entry.insert(now);
                 let servers = self.suspicions.servers[&request].iter().cloned();
-                changes.push(QuarantineChange::Held(request, servers.collect()));
+                changes.push(QuarantineChange::Quarantined(request, servers.collect()));
             }
         }
         changes
--- a/crates/core/src/process/quarantine/lost_runs.rs
+++ b/crates/core/src/process/quarantine/lost_runs.rs
@@ -13,7 +13,7 @@
 
 /// What a lost run asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LossStep {
+pub enum LossAction {
     /// Look whether the server still listens.
     Probe,
     /// That is being looked at.
@@ -41,33 +41,33 @@
 
 impl LostRuns {
     /// Notes a run that ended without its whole answer because the connection ended.
-    pub fn lost(
+    pub fn record_loss(
         &mut self,
         server: &ServerIncarnation,
         request: RequestFingerprint,
         now: Duration,
-    ) -> LossStep {
+    ) -> LossAction {
         self.by_server
             .retain(|_, lost| now.saturating_sub(lost.last_at) < REMEMBERED);
         let lost = self.by_server.entry(server.clone()).or_default();
         lost.last_at = now;
         if lost.has_crashed {
-            return LossStep::Report;
+            return LossAction::Report;
         }
         if lost.requests.len() < MOST_OF_SERVER {
             lost.requests.insert(request);
         }
         if std::mem::replace(&mut lost.is_probed, true) {
-            LossStep::Wait
+            LossAction::Wait
         } else {
-            LossStep::Probe
+            LossAction::Probe
         }
     }
 
     /// Takes note that a server could not be found crashed: the next run that it loses is looked at anew.
     ///
     /// Guards against a crash that nobody looks for, as the server had lost another run and lived on.
-    pub fn not_crashed(&mut self, server: &ServerIncarnation) {
+    pub fn mark_not_crashed(&mut self, server: &ServerIncarnation) {
         if let Some(lost) = self.by_server.get_mut(server) {
             lost.is_probed = false;
             if lost.unsettled.len() < MOST_OF_SERVER {
@@ -77,7 +77,7 @@
     }
 
     /// Takes a server's crash for known; the requests whose runs were lost with it.
-    pub fn crashed(&mut self, server: &ServerIncarnation) -> BTreeSet<RequestFingerprint> {
+    pub fn mark_crashed(&mut self, server: &ServerIncarnation) -> BTreeSet<RequestFingerprint> {
         let Some(lost) = self.by_server.get_mut(server) else {
             return BTreeSet::new();
         };
@@ -87,17 +87,17 @@
     }
 
     /// Takes a server for crashed that is listed no more; all requests whose runs it lost lately.
-    pub fn gone(&mut self, server: &ServerIncarnation) -> BTreeSet<RequestFingerprint> {
+    pub fn mark_gone(&mut self, server: &ServerIncarnation) -> BTreeSet<RequestFingerprint> {
         let unsettled = self.by_server.get_mut(server);
         let mut requests =
             unsettled.map_or_else(BTreeSet::new, |lost| std::mem::take(&mut lost.unsettled));
-        requests.append(&mut self.crashed(server));
+        requests.append(&mut self.mark_crashed(server));
         requests
     }
 
     /// Servers that lost runs and that a function names no more, as the list of servers has changed.
     #[must_use]
-    pub fn missing(
+    pub fn unlisted(
         &self,
         is_listed: impl Fn(&ServerIncarnation) -> bool,
     ) -> Vec<ServerIncarnation> {
--- a/crates/core/src/process/recent_sends.rs
+++ b/crates/core/src/process/recent_sends.rs
@@ -39,15 +39,15 @@
 impl RecentSends {
     /// Whether one more request may be given a server, as far as choices of the last span go.
     #[must_use]
-    pub fn has_place(&self, server: &ServerIncarnation, share: SendShare, now: Duration) -> bool {
+    pub fn can_choose(&self, server: &ServerIncarnation, share: SendShare, now: Duration) -> bool {
         let recent = self.by_server.get(server);
         recent.map_or(0, |recent| within(&recent.chosen_at, share, now)) < share.sends
     }
 
     /// Counts a choice of a server.
-    pub fn chosen(&mut self, server: &ServerIncarnation, share: SendShare, now: Duration) {
+    pub fn record_choice(&mut self, server: &ServerIncarnation, share: SendShare, now: Duration) {
         let recent = self.by_server.entry(server.clone()).or_default();
-        forget(&mut recent.chosen_at, share.span, now);
+        forget(&mut recent.chosen_at, share.window, now);
         recent.chosen_at.push_back(now);
     }
 
@@ -62,7 +62,7 @@
         now: Duration,
     ) -> bool {
         let recent = self.by_server.entry(server.clone()).or_default();
-        forget(&mut recent.sent_at, share.span, now);
+        forget(&mut recent.sent_at, share.window, now);
         if recent.sent_at.len() >= share.sends {
             return false;
         }
@@ -74,7 +74,7 @@
     ///
     /// Guards against a server that becomes cold at once: what it was sent in the second before its
     /// word came counts for it as well.
-    pub fn sent(&mut self, server: &ServerIncarnation, now: Duration) {
+    pub fn record_send(&mut self, server: &ServerIncarnation, now: Duration) {
         let recent = self.by_server.entry(server.clone()).or_default();
         forget(&mut recent.sent_at, WINDOW, now);
         recent.sent_at.push_back(now);
@@ -82,14 +82,14 @@
 
     /// Whether one more send may leave now.
     #[must_use]
-    pub fn may_send(&self, server: &ServerIncarnation, share: SendShare, now: Duration) -> bool {
+    pub fn can_send(&self, server: &ServerIncarnation, share: SendShare, now: Duration) -> bool {
         let recent = self.by_server.get(server);
         recent.map_or(0, |recent| within(&recent.sent_at, share, now)) < share.sends
     }
 
     /// When one more request may be given a server; none if never by this share.
     #[must_use]
-    pub fn next_place(
+    pub fn next_choice_at(
         &self,
         server: &ServerIncarnation,
         share: SendShare,
@@ -104,7 +104,7 @@
         // The oldest of the newest ones that fill the share makes room when it leaves the span.
         let place = |times: &VecDeque<Duration>| {
             let filling = times.iter().rev().nth(share.sends - 1);
-            filling.map_or(now, |at| (*at + share.span).max(now))
+            filling.map_or(now, |at| (*at + share.window).max(now))
         };
         Some(place(&recent.chosen_at).max(place(&recent.sent_at)))
     }
@@ -127,6 +127,6 @@
 fn within(times: &VecDeque<Duration>, share: SendShare, now: Duration) -> usize {
     // The newest are last; a span holds the moment at its end but not the one at its start.
     let recent = times.iter().rev();
-    let recent = recent.take_while(|at| now.saturating_sub(**at) < share.span);
+    let recent = recent.take_while(|at| now.saturating_sub(**at) < share.window);
     recent.count()
 }
--- a/crates/core/src/process/limit_words.rs
+++ b/crates/core/src/process/reported_limits.rs
@@ -17,18 +17,18 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use amaranthscale_core::process::LimitWords;
+/// use amaranthscale_core::process::ReportedLimits;
 ///
 /// let server = "a".parse()?;
 /// let (sent, heard) = (Duration::from_secs(1), Duration::from_secs(2));
 /// let limit = Some("1.5".parse().expect("a rate"));
-/// let mut words = LimitWords::default();
-/// assert!(words.heard(&server, limit, sent, heard));
-/// assert_eq!(words.untold(), [(server, limit)]);
+/// let mut words = ReportedLimits::default();
+/// assert!(words.record_answer(&server, limit, sent, heard));
+/// assert_eq!(words.unpublished(), [(server, limit)]);
 /// # Ok::<(), amaranthscale_core::id::InvalidName>(())
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct LimitWords {
+pub struct ReportedLimits {
     by_server: BTreeMap<ServerIncarnation, Word>,
 }
 
@@ -42,7 +42,7 @@
     since: Duration,
 }
 
-impl LimitWords {
+impl ReportedLimits {
     /// Whether no server has named a limit.
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -67,7 +67,7 @@
     ///
     /// An answer without a limit to a request that left before the word was heard may be older than the
     /// word, and does not end it.
-    pub fn heard(
+    pub fn record_answer(
         &mut self,
         server: &ServerIncarnation,
         limit: Option<ServerLimit>,
@@ -98,7 +98,7 @@
     }
 
     /// Takes what another entry told through the store; says whether the limit changed.
-    pub fn told(
+    pub fn apply_published(
         &mut self,
         server: &ServerIncarnation,
         limit: Option<ServerLimit>,
@@ -123,7 +123,7 @@
     }
 
     /// Takes which servers a whole table names; says whose limit ended by that.
-    pub fn keep_only(&mut self, named: &[ServerIncarnation]) -> Vec<ServerIncarnation> {
+    pub fn retain_published(&mut self, named: &[ServerIncarnation]) -> Vec<ServerIncarnation> {
         let mut ended = Vec::new();
         for (server, word) in &mut self.by_server {
             if named.contains(server) {
@@ -140,7 +140,7 @@
 
     /// Words of servers that this entry heard and the store does not say.
     #[must_use]
-    pub fn untold(&self) -> Vec<(ServerIncarnation, Option<ServerLimit>)> {
+    pub fn unpublished(&self) -> Vec<(ServerIncarnation, Option<ServerLimit>)> {
         let untold = self.by_server.iter().filter(|(_, word)| word.is_untold());
         untold
             .map(|(server, word)| (server.clone(), word.limit))
@@ -148,7 +148,7 @@
     }
 
     /// Notes that the store has taken a word.
-    pub fn stored(&mut self, server: &ServerIncarnation, limit: Option<ServerLimit>) {
+    pub fn mark_published(&mut self, server: &ServerIncarnation, limit: Option<ServerLimit>) {
         if let Some(word) = self.by_server.get_mut(server) {
             word.stored = limit;
         }
@@ -156,7 +156,7 @@
     }
 
     /// Forgets servers that are gone; names those of which the store still says something.
-    pub fn forget_gone(
+    pub fn remove_unlisted(
         &mut self,
         is_listed: impl Fn(&ServerIncarnation) -> bool,
     ) -> Vec<ServerIncarnation> {
--- a/crates/core/src/process/router.rs
+++ b/crates/core/src/process/router.rs
@@ -16,7 +16,7 @@
 use rand::seq::IndexedRandom;
 
 use super::host_track::HostTrack;
-use super::server_use::ServerUse;
+use super::server_availability::ServerAvailability;
 use super::{AttemptEnd, Refusal, RouterSettings, StageEstimate, rendezvous};
 use crate::ResultCode;
 use crate::id::{HostId, Incarnation, ServiceId, ZoneId};
@@ -105,18 +105,20 @@
 
     /// What may be sent to a host now, as far as the host list, its own word and the operators go.
     #[must_use]
-    pub fn use_of(&self, host: &HostId) -> ServerUse {
+    pub fn availability(&self, host: &HostId) -> ServerAvailability {
         let track = self.hosts.get(host);
-        track.map_or(ServerUse::Unlisted, |track| self.use_of_track(track))
+        track.map_or(ServerAvailability::Unlisted, |track| {
+            self.use_of_track(track)
+        })
     }
 
-    fn use_of_track(&self, track: &HostTrack) -> ServerUse {
+    fn use_of_track(&self, track: &HostTrack) -> ServerAvailability {
         if self.evacuated.contains(&track.record.zone) {
-            ServerUse::Evacuated
+            ServerAvailability::Evacuated
         } else if track.is_leaving() {
-            ServerUse::Leaving
+            ServerAvailability::Leaving
         } else {
-            ServerUse::Free
+            ServerAvailability::Free
         }
     }
 
@@ -249,7 +251,8 @@
         let of_service = self.hosts.values();
         let mut of_service =
             of_service.filter(|track| track.record.service.as_ref() == Some(service));
-        let is_evacuated = |track: &HostTrack| self.use_of_track(track) == ServerUse::Evacuated;
+        let is_evacuated =
+            |track: &HostTrack| self.use_of_track(track) == ServerAvailability::Evacuated;
         if self.subset(service).next().is_none() && of_service.any(is_evacuated) {
             ResultCode::ZonesEvacuated
         } else {
--- a/crates/core/src/process/send_share.rs
+++ b/crates/core/src/process/send_share.rs
@@ -43,20 +43,20 @@
 
 /// What bounds the sum of all entries' sends to a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum SendBound {
+pub enum SendRateLimit {
     /// It is cold.
     Cold {
         /// Requests that may reach it in any second.
-        most_per_s: f64,
+        max_per_s: f64,
     },
     /// It is in need.
     Limited {
         /// Requests a second that it takes.
-        most_per_s: f64,
+        max_per_s: f64,
     },
 }
 
-impl SendBound {
+impl SendRateLimit {
     /// The share of one entry among all that are announced, itself among them, at one of so many servers
     /// of a service.
     #[must_use]
@@ -68,11 +68,11 @@
         entries: &[SocketAddr],
     ) -> SendShare {
         match self {
-            Self::Cold { most_per_s } => {
-                SendShare::of_entry(server, most_per_s, servers, own, entries)
+            Self::Cold { max_per_s } => {
+                SendShare::of_entry(server, max_per_s, servers, own, entries)
             }
-            Self::Limited { most_per_s } => {
-                SendShare::of_entry_at_limit(server, most_per_s, servers, own, entries)
+            Self::Limited { max_per_s } => {
+                SendShare::of_entry_at_limit(server, max_per_s, servers, own, entries)
             }
         }
     }
@@ -81,9 +81,9 @@
     #[must_use]
     pub fn share_of_owner(self) -> SendShare {
         match self {
-            Self::Cold { most_per_s } => SendShare::of_owner(most_per_s),
-            Self::Limited { most_per_s } => {
-                SendShare::spread(most_per_s * LIMIT_OWNER_PERCENT / 100.0)
+            Self::Cold { max_per_s } => SendShare::of_owner(max_per_s),
+            Self::Limited { max_per_s } => {
+                SendShare::spread(max_per_s * LIMIT_OWNER_PERCENT / 100.0)
             }
         }
     }
@@ -93,14 +93,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SendShare {
     pub(super) sends: usize,
-    pub(super) span: Duration,
+    pub(super) window: Duration,
 }
 
 impl SendShare {
     /// Nothing may be sent.
     pub const NONE: Self = Self {
         sends: 0,
-        span: WINDOW,
+        window: WINDOW,
     };
 
     /// The share of one entry among all that are announced, itself among them, at one of so many
@@ -108,12 +108,12 @@
     #[must_use]
     pub fn of_entry(
         server: &ServerIncarnation,
-        most_per_s: f64,
+        max_per_s: f64,
         servers: usize,
         own: SocketAddr,
         entries: &[SocketAddr],
     ) -> Self {
-        let used_per_s = most_per_s * USED_PERCENT / 100.0;
+        let used_per_s = max_per_s * USED_PERCENT / 100.0;
         let sends = sends_each(used_per_s, servers, entries.len());
         let senders = whole(used_per_s / sends).clamp(1, entries.len().max(1));
         if !is_sender(server, senders, own, entries) {
@@ -133,12 +133,12 @@
     #[must_use]
     pub fn of_entry_at_limit(
         server: &ServerIncarnation,
-        most_per_s: f64,
+        max_per_s: f64,
         servers: usize,
         own: SocketAddr,
         entries: &[SocketAddr],
     ) -> Self {
-        let used_per_s = most_per_s * LIMIT_USED_PERCENT / 100.0;
+        let used_per_s = max_per_s * LIMIT_USED_PERCENT / 100.0;
         let reached = servers.clamp(1, SERVERS_EACH);
         let by_reach = (entries.len() * reached).div_ceil(servers.max(1));
         let most = whole(used_per_s * 2.0) + SENDERS_BEYOND;
@@ -154,27 +154,33 @@
     fn spread(per_s: f64) -> Self {
         let sends = whole(per_s.ceil()).max(1);
         match Duration::try_from_secs_f64(as_f64(sends) / per_s) {
-            Ok(span) => Self { sends, span },
+            Ok(span) => Self {
+                sends,
+                window: span,
+            },
             Err(_endless) => Self::NONE,
         }
     }
 
     /// The share of the owner of batches at a cold server.
     #[must_use]
-    pub fn of_owner(most_per_s: f64) -> Self {
-        Self::of_rate(most_per_s * OWNER_PERCENT / 100.0)
+    pub fn of_owner(max_per_s: f64) -> Self {
+        Self::of_rate(max_per_s * OWNER_PERCENT / 100.0)
     }
 
     fn of_rate(per_s: f64) -> Self {
         if per_s >= 1.0 {
             return Self {
                 sends: whole(per_s),
-                span: WINDOW,
+                window: WINDOW,
             };
         }
         // One in a longer span; none where it would be longer than any server is cold.
         match Duration::try_from_secs_f64(1.0 / per_s) {
-            Ok(span) => Self { sends: 1, span },
+            Ok(span) => Self {
+                sends: 1,
+                window: span,
+            },
             Err(_endless) => Self::NONE,
         }
     }
@@ -187,8 +193,8 @@
 
     /// Length of the span.
     #[must_use]
-    pub const fn span(self) -> Duration {
-        self.span
+    pub const fn window(self) -> Duration {
+        self.window
     }
 }
 
--- a/crates/core/src/process/server_use.rs
+++ b/crates/core/src/process/server_availability.rs
@@ -2,16 +2,16 @@
 //!
 //! One answer for all that send: plain requests, streams, repeats and calls for pieces. The list of
 //! servers gives it from what the platform and the operators say; what an entry learns by its own
-//! sends is in [`BackendChoice`](super::BackendChoice).
+//! sends is in [`ServerSelector`](super::BackendChoice).
 
 use std::time::Duration;
 
-use super::send_share::SendBound;
+use super::send_share::SendRateLimit;
 use super::server_list::ServerRecord;
 
 /// What may be sent to a server now.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum ServerUse {
+pub enum ServerAvailability {
     /// Any request.
     Free,
     /// Few requests until a time: it has just started, or its zone was just taken back.
@@ -19,12 +19,12 @@
         /// When it takes any request again, by the clock of the process.
         until: Duration,
         /// Requests that may reach it in any second, from all entries together.
-        most_per_s: f64,
+        max_per_s: f64,
     },
     /// Few requests: it is in need and says how many it takes.
     Limited {
         /// Requests a second that it takes from all entries together.
-        most_per_s: f64,
+        max_per_s: f64,
     },
     /// Nothing: it says that it leaves.
     Leaving,
@@ -34,13 +34,13 @@
     Unlisted,
 }
 
-impl ServerUse {
+impl ServerAvailability {
     /// The bound on the sum of what all entries send, where there is one.
     #[must_use]
-    pub const fn bound(self) -> Option<SendBound> {
+    pub const fn rate_limit(self) -> Option<SendRateLimit> {
         match self {
-            Self::Cold { most_per_s, .. } => Some(SendBound::Cold { most_per_s }),
-            Self::Limited { most_per_s } => Some(SendBound::Limited { most_per_s }),
+            Self::Cold { max_per_s, .. } => Some(SendRateLimit::Cold { max_per_s }),
+            Self::Limited { max_per_s } => Some(SendRateLimit::Limited { max_per_s }),
             Self::Free | Self::Leaving | Self::Evacuated | Self::Unlisted => None,
         }
     }
--- a/crates/core/src/process/server_list.rs
+++ b/crates/core/src/process/server_list.rs
@@ -16,22 +16,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::cold_terms::ColdTerms;
+use super::cold_limits::ColdLimits;
 use super::cold_times::ColdTimes;
+use super::server_availability::ServerAvailability;
 use super::server_limit::ServerLimit;
-use super::server_use::ServerUse;
 use super::zone_uses::{ZoneChange, ZoneState, ZoneUses};
 use crate::id::{RowVersion, ServerId, ServerIncarnation, ServiceId, ZoneId};
 
 /// How long a server that lapsed in an outage may take to come back.
 /// Source: the platform writes entries again about 2 s after the store's return.
-pub const LAPSE_GRACE: Duration = Duration::from_secs(2);
+pub const EXPIRY_GRACE: Duration = Duration::from_secs(2);
 
 /// One backend server as the platform lists it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerRecord {
     /// This life of the server.
-    pub life: ServerIncarnation,
+    pub incarnation: ServerIncarnation,
     /// Service that it belongs to.
     pub service: ServiceId,
     /// Where it listens.
@@ -52,7 +52,7 @@
     /// A server is new or is listed differently.
     Listed(ServerRecord),
     /// A server takes nothing more.
-    Gone(ServerId),
+    Removed(ServerId),
     /// An entry that names no server to use.
     Unreadable(ServerId),
 }
@@ -62,8 +62,8 @@
     #[must_use]
     pub const fn id(&self) -> &ServerId {
         match self {
-            Self::Listed(record) => record.life.id(),
-            Self::Gone(id) | Self::Unreadable(id) => id,
+            Self::Listed(record) => record.incarnation.id(),
+            Self::Removed(id) | Self::Unreadable(id) => id,
         }
     }
 }
@@ -87,7 +87,7 @@
 
 impl ServerList {
     /// Takes what the operators say of zones; says which of them have changed.
-    pub fn take_zones(
+    pub fn apply_zones(
         &mut self,
         changes: Vec<ZoneChange>,
         is_whole: bool,
@@ -97,7 +97,7 @@
     }
 
     /// Zones that are evacuated, each with the version of the operators' word.
-    pub fn evacuated(&self) -> impl Iterator<Item = (&ZoneId, RowVersion)> {
+    pub fn evacuated_zones(&self) -> impl Iterator<Item = (&ZoneId, RowVersion)> {
         self.zones.evacuated()
     }
 
@@ -111,47 +111,53 @@
 
     /// What may be sent to a life of a server now, where its service may have cold servers.
     #[must_use]
-    pub fn use_of(
+    pub fn availability(
         &self,
         life: &ServerIncarnation,
-        cold: Option<ColdTerms>,
+        cold: Option<ColdLimits>,
         now: Duration,
-    ) -> ServerUse {
+    ) -> ServerAvailability {
         let record = self.servers.get(life.id());
-        let record = record.filter(|record| record.life == *life && self.is_servers_own(record));
-        record.map_or(ServerUse::Unlisted, |record| {
-            self.use_of_listed(record, cold, now)
+        let record =
+            record.filter(|record| record.incarnation == *life && self.is_servers_own(record));
+        record.map_or(ServerAvailability::Unlisted, |record| {
+            self.availability_of(record, cold, now)
         })
     }
 
     /// The same of a record of this list.
     #[must_use]
-    pub fn use_of_listed(
+    pub fn availability_of(
         &self,
         record: &ServerRecord,
-        cold: Option<ColdTerms>,
+        cold: Option<ColdLimits>,
         now: Duration,
-    ) -> ServerUse {
+    ) -> ServerAvailability {
         if self.zones.is_evacuated(&record.zone) {
-            return ServerUse::Evacuated;
+            return ServerAvailability::Evacuated;
         }
         if record.is_leaving {
-            return ServerUse::Leaving;
+            return ServerAvailability::Leaving;
         }
-        let limit = self.limits.get(&record.life).map(|limit| limit.per_s());
+        let limit = self
+            .limits
+            .get(&record.incarnation)
+            .map(|limit| limit.per_s());
         let cold_until = cold.and_then(|terms| {
             let taken_back_at = self.zones.taken_back_at(&record.zone);
-            let until = self.cold.until(record.life.id(), terms, taken_back_at)?;
-            (until > now).then_some((until, terms.most_per_s))
+            let until = self
+                .cold
+                .until(record.incarnation.id(), terms, taken_back_at)?;
+            (until > now).then_some((until, terms.max_per_s))
         });
         match (cold_until, limit) {
             // Of two bounds the tighter one holds, and that of cold servers is counted more strictly.
-            (Some((until, most_per_s)), limit) => ServerUse::Cold {
+            (Some((until, max_per_s)), limit) => ServerAvailability::Cold {
                 until,
-                most_per_s: limit.map_or(most_per_s, |limit| limit.min(most_per_s)),
+                max_per_s: limit.map_or(max_per_s, |limit| limit.min(max_per_s)),
             },
-            (None, Some(most_per_s)) => ServerUse::Limited { most_per_s },
-            (None, None) => ServerUse::Free,
+            (None, Some(max_per_s)) => ServerAvailability::Limited { max_per_s },
+            (None, None) => ServerAvailability::Free,
         }
     }
 
@@ -169,7 +175,7 @@
     }
 
     /// Takes one change; false if nothing in use changed.
-    pub fn take(&mut self, change: ServerChange, now: Duration) -> bool {
+    pub fn apply_change(&mut self, change: ServerChange, now: Duration) -> bool {
         let is_changed = self.apply(change, now);
         if is_changed {
             self.count_starts();
@@ -180,7 +186,7 @@
     fn apply(&mut self, change: ServerChange, now: Duration) -> bool {
         match change {
             ServerChange::Listed(record) => {
-                let id = record.life.id();
+                let id = record.incarnation.id();
                 self.lapsed.remove(id);
                 self.note_cold(&record, now);
                 if self.servers.get(id) == Some(&record) {
@@ -189,7 +195,7 @@
                 self.servers.insert(id.clone(), record);
                 true
             }
-            ServerChange::Gone(id) => self.lose(id, now),
+            ServerChange::Removed(id) => self.lose(id, now),
             // The store has spoken: no outage explains such an entry.
             ServerChange::Unreadable(id) => {
                 self.lapsed.remove(&id);
@@ -199,11 +205,11 @@
     }
 
     fn note_cold(&mut self, record: &ServerRecord, now: Duration) {
-        let known = self.servers.get(record.life.id());
-        let is_new = known.is_none_or(|known| record.life.replaces(&known.life));
+        let known = self.servers.get(record.incarnation.id());
+        let is_new = known.is_none_or(|known| record.incarnation.replaces(&known.incarnation));
         let has_come = is_new && self.is_whole;
         self.cold
-            .told(record.life.id(), record.cold_left, has_come, now);
+            .told(record.incarnation.id(), record.cold_left, has_come, now);
     }
 
     fn forget(&mut self, id: &ServerId) -> bool {
@@ -213,14 +219,14 @@
     }
 
     /// Takes the whole list: what is missing from it lapsed or is gone.
-    pub fn take_all(&mut self, entries: Vec<ServerChange>, now: Duration) {
+    pub fn replace_all(&mut self, entries: Vec<ServerChange>, now: Duration) {
         let listed: BTreeSet<_> = entries.iter().map(|entry| entry.id().clone()).collect();
         let known: Vec<_> = self.servers.keys().cloned().collect();
         for entry in entries {
             self.apply(entry, now);
         }
         for id in known.into_iter().filter(|id| !listed.contains(id)) {
-            self.apply(ServerChange::Gone(id), now);
+            self.apply(ServerChange::Removed(id), now);
         }
         self.is_whole = true;
         self.count_starts();
@@ -228,16 +234,16 @@
 
     /// When what lapsed and has not come back is gone.
     #[must_use]
-    pub fn lapsed_until(&self) -> Option<Duration> {
+    pub fn expired_until(&self) -> Option<Duration> {
         let returned_at = self
             .returned_at
             .filter(|_| !self.lapsed.is_empty() && !self.is_away);
-        returned_at.map(|returned_at| returned_at + LAPSE_GRACE)
+        returned_at.map(|returned_at| returned_at + EXPIRY_GRACE)
     }
 
     /// Drops what lapsed and has not come back in time; says which.
-    pub fn drop_lapsed(&mut self, now: Duration) -> Vec<ServerId> {
-        if self.lapsed_until().is_none_or(|until| until > now) {
+    pub fn drop_expired(&mut self, now: Duration) -> Vec<ServerId> {
+        if self.expired_until().is_none_or(|until| until > now) {
             return Vec::new();
         }
         let due: Vec<_> = std::mem::take(&mut self.lapsed).into_iter().collect();
@@ -249,27 +255,30 @@
     }
 
     /// Servers of a service that do not leave, those of evacuated zones too.
-    pub fn staying<'a>(&'a self, service: &'a ServiceId) -> impl Iterator<Item = &'a ServerRecord> {
+    pub fn not_leaving<'a>(
+        &'a self,
+        service: &'a ServiceId,
+    ) -> impl Iterator<Item = &'a ServerRecord> {
         let of_service = self.all().filter(move |record| record.service == *service);
         of_service.filter(|record| !record.is_leaving)
     }
 
     /// Servers of a service that take requests, cold ones too.
     pub fn usable<'a>(&'a self, service: &'a ServiceId) -> impl Iterator<Item = &'a ServerRecord> {
-        let staying = self.staying(service);
+        let staying = self.not_leaving(service);
         staying.filter(|record| !self.zones.is_evacuated(&record.zone))
     }
 
     /// Whether a life of a server takes requests, be it as a cold one.
     #[must_use]
     pub fn is_usable(&self, life: &ServerIncarnation) -> bool {
-        self.use_of(life, None, Duration::ZERO).is_usable()
+        self.availability(life, None, Duration::ZERO).is_usable()
     }
 
     /// Whether a life of a server is listed, be it as one that leaves.
     #[must_use]
     pub fn is_listed(&self, life: &ServerIncarnation) -> bool {
-        self.use_of(life, None, Duration::ZERO) != ServerUse::Unlisted
+        self.availability(life, None, Duration::ZERO) != ServerAvailability::Unlisted
     }
 
     /// All servers that are known.
@@ -284,12 +293,12 @@
     /// would wait for a server that is not. Most entries are servers' own, so most of them say
     /// whether the platform tells starts at all.
     fn is_servers_own(&self, record: &ServerRecord) -> bool {
-        !self.tells_starts || record.life.started().is_some()
+        !self.tells_starts || record.incarnation.started().is_some()
     }
 
     fn count_starts(&mut self) {
         let records = self.servers.values();
-        let with_start = records.filter(|record| record.life.started().is_some());
+        let with_start = records.filter(|record| record.incarnation.started().is_some());
         self.tells_starts = with_start.count() * 2 > self.servers.len();
     }
 
@@ -298,7 +307,7 @@
         // gone though it serves. Once the grace is over, missing is gone.
         let in_grace = self
             .returned_at
-            .is_some_and(|returned_at| now.saturating_sub(returned_at) < LAPSE_GRACE);
+            .is_some_and(|returned_at| now.saturating_sub(returned_at) < EXPIRY_GRACE);
         if self.is_away || in_grace {
             if self.servers.contains_key(&id) {
                 self.lapsed.insert(id);
--- a/crates/core/src/process/backend_choice.rs
+++ b/crates/core/src/process/server_selector.rs
@@ -13,10 +13,10 @@
 
 use super::connection_share::ConnectionShare;
 use super::count::as_f64;
+use super::load_snapshot::{LoadSnapshot, OptionalNumber};
 use super::rendezvous;
-use super::seen_load::{SeenLoad, SeenNumber};
+use super::server_availability::UsableServers;
 use super::server_list::ServerRecord;
-use super::server_use::UsableServers;
 use crate::id::{InstanceId, ServerIncarnation, ZoneId};
 
 /// Failures in a row after which a server is left out.
@@ -45,7 +45,7 @@
 
 /// Load that a server told with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ToldLoad {
+pub struct ServerLoad {
     /// Requests in work.
     pub running: u32,
     /// Requests that wait.
@@ -60,9 +60,9 @@
     /// A whole answer came.
     Answered,
     /// The server was full or would not run it.
-    Full,
+    Rejected,
     /// No connection to it came about.
-    Unreached,
+    Unreachable,
     /// Its connection ended, or its answer was broken.
     Failed,
     /// The caller left or the time was over; says nothing of the server.
@@ -73,9 +73,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthChange {
     /// It failed several times in a row.
-    LeftOut,
+    Ejected,
     /// It answered again.
-    TakenBack,
+    Readmitted,
 }
 
 /// The entry that sends, as far as its choice of a server goes.
@@ -104,7 +104,7 @@
     in_flight: usize,
     smoothed_ms: Option<f64>,
     sampled_at: Duration,
-    told: Option<(ToldLoad, Duration)>,
+    told: Option<(ServerLoad, Duration)>,
     failures: u32,
     out_until: Duration,
 }
@@ -132,15 +132,15 @@
 
 /// What this entry knows of each backend server by its own sends.
 #[derive(Debug, Clone, Default)]
-pub struct BackendChoice {
+pub struct ServerSelector {
     tracks: BTreeMap<ServerIncarnation, Track>,
 }
 
-impl BackendChoice {
+impl ServerSelector {
     /// The server with the least expected wait for a plain request, among those that the entry
     /// keeps to; another one only when those have as much of it in work as its share allows.
     #[must_use]
-    pub fn plain<'a>(
+    pub fn select_plain<'a>(
         &self,
         servers: UsableServers<'a>,
         tried: &BTreeSet<ServerIncarnation>,
@@ -161,7 +161,7 @@
         // Equal servers are told apart differently by each entry: entries that start together
         // would otherwise all go to the first one.
         let cost = |server: &&ServerRecord| {
-            let own = Reverse(rendezvous::score(entry.seed, server.life.id()));
+            let own = Reverse(rendezvous::score(entry.seed, server.incarnation.id()));
             (self.cost_ms(server, entry.zone, usual_ms, now), own)
         };
         let least = |servers: &mut dyn Iterator<Item = &'a ServerRecord>| {
@@ -171,8 +171,9 @@
             });
             least.map(|(_, server)| server)
         };
-        let has_place =
-            |server: &&ServerRecord| self.in_flight(&server.life) < entry.share.connections();
+        let has_place = |server: &&ServerRecord| {
+            self.in_flight(&server.incarnation) < entry.share.connections()
+        };
         let kept_to = entry.share.keep_to(all.to_vec(), entry.zone, entry.seed);
         least(&mut kept_to.into_iter().filter(has_place))
             .or_else(|| least(&mut all.iter().copied().filter(has_place)))
@@ -183,7 +184,7 @@
     fn usual_ms(&self, servers: &[&ServerRecord], now: Duration) -> f64 {
         let times = servers
             .iter()
-            .filter_map(|server| self.track(&server.life)?.time_ms(now));
+            .filter_map(|server| self.track(&server.incarnation)?.time_ms(now));
         let (sum, count) = times.fold((0.0, 0_u32), |(sum, count), ms| (sum + ms, count + 1));
         if count == 0 {
             1.0
@@ -194,7 +195,7 @@
 
     /// Expected wait at a server.
     fn cost_ms(&self, server: &ServerRecord, zone: &ZoneId, usual_ms: f64, now: Duration) -> f64 {
-        let track = self.track(&server.life);
+        let track = self.track(&server.incarnation);
         let ahead = track.map_or(0.0, |track| track.waiting_ahead(LOAD_LIFE, now));
         let time_ms = track
             .and_then(|track| track.time_ms(now))
@@ -211,7 +212,7 @@
 
     /// The engine for a prompt whose last shared part has a name.
     #[must_use]
-    pub fn engine<'a>(
+    pub fn select_engine<'a>(
         &self,
         servers: UsableServers<'a>,
         tried: &BTreeSet<ServerIncarnation>,
@@ -221,14 +222,15 @@
         let has_place = |server: &ServerRecord| !self.is_nearly_full(server, now);
         let mut servers = self.candidates(servers, tried, has_place, now);
         let seed = rendezvous::score(1, shared_part);
-        servers.sort_by_cached_key(|server| Reverse(rendezvous::score(seed, server.life.id())));
+        servers
+            .sort_by_cached_key(|server| Reverse(rendezvous::score(seed, server.incarnation.id())));
         let mut mean = None;
         // A prompt that is read elsewhere is read anew: only a full engine is worth that.
         let mut has_place = |server: &&&ServerRecord| {
             if !self.is_nearly_full(server, now) {
                 return true;
             }
-            let own = self.in_flight(&server.life);
+            let own = self.in_flight(&server.incarnation);
             let mean = *mean.get_or_insert_with(|| self.mean_in_flight(&servers));
             own < AFFINITY_FLOOR || as_f64(own) < mean * AFFINITY_FACTOR
         };
@@ -242,23 +244,25 @@
 
     /// Requests ahead at a server, in parts of its slots.
     fn fullness(&self, server: &ServerRecord, load_life: Duration, now: Duration) -> f64 {
-        let track = self.track(&server.life);
+        let track = self.track(&server.incarnation);
         let ahead = track.map_or(0.0, |track| track.waiting_ahead(load_life, now));
         ahead / f64::from(u32::try_from(server.slots.max(1)).unwrap_or(1))
     }
 
     fn mean_in_flight(&self, servers: &[&ServerRecord]) -> f64 {
-        let in_flight = servers.iter().map(|server| self.in_flight(&server.life));
+        let in_flight = servers
+            .iter()
+            .map(|server| self.in_flight(&server.incarnation));
         as_f64(in_flight.sum::<usize>()) / as_f64(servers.len().max(1))
     }
 
     /// Counts a send.
-    pub fn sent(&mut self, server: &ServerIncarnation) {
+    pub fn record_send(&mut self, server: &ServerIncarnation) {
         self.tracks.entry(server.clone()).or_default().in_flight += 1;
     }
 
     /// Takes the end of a send; says whether the server is left out or taken back by it.
-    pub fn ended(
+    pub fn record_end(
         &mut self,
         server: &ServerIncarnation,
         end: SendEnd,
@@ -276,7 +280,7 @@
                 track.smoothed_ms = Some(smoothed_ms + SAMPLE_SHARE * (sample_ms - smoothed_ms));
                 track.sampled_at = now;
             }
-            SendEnd::Failed | SendEnd::Unreached => {
+            SendEnd::Failed | SendEnd::Unreachable => {
                 // One that takes no connection is not there. Before hundreds of servers an entry
                 // seldom meets the same one twice, so a second sign would come much too late.
                 let signs = if end == SendEnd::Failed {
@@ -290,17 +294,17 @@
                     track.out_until = now + doubled.min(LONGEST_OUT);
                 }
             }
-            SendEnd::Full | SendEnd::Abandoned => {}
+            SendEnd::Rejected | SendEnd::Abandoned => {}
         }
         match (was_failing, track.failures >= FAILURES_OUT) {
-            (false, true) => Some(HealthChange::LeftOut),
-            (true, false) => Some(HealthChange::TakenBack),
+            (false, true) => Some(HealthChange::Ejected),
+            (true, false) => Some(HealthChange::Readmitted),
             _ => None,
         }
     }
 
     /// Takes the load that a server told.
-    pub fn told(&mut self, server: &ServerIncarnation, load: ToldLoad, now: Duration) {
+    pub fn record_load(&mut self, server: &ServerIncarnation, load: ServerLoad, now: Duration) {
         self.tracks.entry(server.clone()).or_default().told = Some((load, now));
     }
 
@@ -312,18 +316,18 @@
 
     /// What a choice sees of a server now.
     #[must_use]
-    pub fn seen(&self, server: &ServerIncarnation, now: Duration) -> SeenLoad {
+    pub fn load_snapshot(&self, server: &ServerIncarnation, now: Duration) -> LoadSnapshot {
         let Some(track) = self.track(server) else {
-            return SeenLoad::default();
+            return LoadSnapshot::default();
         };
         let told = track
             .told
             .map(|(load, _)| u64::from(load.running + load.waiting));
         let told_age = track.told.map(|(_, at)| now.saturating_sub(at));
-        SeenLoad {
+        LoadSnapshot {
             in_flight: track.in_flight,
-            told: SeenNumber(told),
-            told_age_ms: told_age.map_or_else(SeenNumber::default, SeenNumber::of_ms),
+            reported: OptionalNumber(told),
+            reported_age_ms: told_age.map_or_else(OptionalNumber::default, OptionalNumber::of_ms),
         }
     }
 
@@ -361,13 +365,13 @@
         now: Duration,
     ) -> Vec<&'a ServerRecord> {
         let untried: Vec<_> = servers
-            .filter(|server| !tried.contains(&server.life))
+            .filter(|server| !tried.contains(&server.incarnation))
             .collect();
         if !self.tracks.values().any(|track| track.is_out(now)) {
             return untried;
         }
         let is_in = |server: &&ServerRecord| {
-            self.track(&server.life)
+            self.track(&server.incarnation)
                 .is_none_or(|track| !track.is_out(now))
         };
         let healthy: Vec<_> = untried.iter().copied().filter(is_in).collect();
--- a/crates/core/src/process/shared_budget.rs
+++ b/crates/core/src/process/shared_retry_budget.rs
@@ -16,7 +16,7 @@
 
 /// The bound as the operators set it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BudgetTerms {
+pub struct RetryBudgetSettings {
     /// Repeats per request.
     pub ratio: f64,
     /// Repeats beyond them, over all entries.
@@ -38,24 +38,24 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use amaranthscale_core::process::{BudgetTerms, SharedBudget};
+/// use amaranthscale_core::process::{RetryBudgetSettings, SharedRetryBudget};
 ///
-/// let terms = BudgetTerms { ratio: 0.2, slack: 10.0, window: Duration::from_secs(10) };
-/// let mut budget = SharedBudget::new(terms);
+/// let terms = RetryBudgetSettings { ratio: 0.2, slack: 10.0, window: Duration::from_secs(10) };
+/// let mut budget = SharedRetryBudget::new(terms);
 /// let now = Duration::from_secs(5);
-/// let taken = (0..20).filter(|_| budget.try_repeat(2, now)).count();
+/// let taken = (0..20).filter(|_| budget.try_retry(2, now)).count();
 /// assert_eq!(taken, 3);
 /// ```
 #[derive(Debug, Clone)]
-pub struct SharedBudget {
-    terms: BudgetTerms,
+pub struct SharedRetryBudget {
+    terms: RetryBudgetSettings,
     buckets: VecDeque<Bucket>,
 }
 
-impl SharedBudget {
+impl SharedRetryBudget {
     /// A budget without a past.
     #[must_use]
-    pub const fn new(terms: BudgetTerms) -> Self {
+    pub const fn new(terms: RetryBudgetSettings) -> Self {
         Self {
             terms,
             buckets: VecDeque::new(),
@@ -63,14 +63,14 @@
     }
 
     /// Counts a request for the service.
-    pub fn request(&mut self, now: Duration) {
+    pub fn record_request(&mut self, now: Duration) {
         self.bucket(now).requests += 1;
     }
 
     /// Takes so many repeats if they are left to one of `live` entries.
-    pub fn try_repeat(&mut self, live: usize, now: Duration) -> bool {
+    pub fn try_retry(&mut self, live: usize, now: Duration) -> bool {
         self.forget(now);
-        if self.left(live) < 1.0 {
+        if self.remaining(live) < 1.0 {
             return false;
         }
         self.bucket(now).repeats += 1;
@@ -79,7 +79,7 @@
 
     /// Repeats left in the window.
     #[must_use]
-    pub fn left(&self, live: usize) -> f64 {
+    pub fn remaining(&self, live: usize) -> f64 {
         let live = as_f64(live.max(1));
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
         let repeats: u32 = self.buckets.iter().map(|bucket| bucket.repeats).sum();
--- a/crates/core/src/version/routing.rs
+++ b/crates/core/src/version/routing.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 use crate::id::{RoutingVersion, ServiceId};
-use crate::process::{ColdBounds, ColdTerms};
+use crate::process::{ColdAllowance, ColdLimits};
 use host_routes::HostRoutes;
 
 #[doc(inline)]
@@ -139,9 +139,9 @@
 
     /// What holds of a service's cold servers under the operators' bounds, if it can have any.
     #[must_use]
-    pub fn cold_terms(&self, service: &ServiceId, bounds: ColdBounds) -> Option<ColdTerms> {
+    pub fn cold_terms(&self, service: &ServiceId, bounds: ColdAllowance) -> Option<ColdLimits> {
         let spec = self.pool(service)?.cold?;
-        Some(spec.under(bounds))
+        Some(spec.with_allowance(bounds))
     }
 
     /// All services.
--- a/crates/core/tests/batcher/bench.rs
+++ b/crates/core/tests/batcher/bench.rs
@@ -5,8 +5,8 @@
 
 use amaranthscale_core::id::{ResultHandle, RoutingVersion, ServerIncarnation, StartMs};
 use amaranthscale_core::process::{
-    Batch, BatchEnd, Batcher, Cell, JobEvent, JobId, PieceEnd, PipelineOrder, Rank, ServerRecord,
-    ServerUse, StageOrder, USUAL_ENGINE_TIME,
+    Batch, BatchEnd, Batcher, Cell, DEFAULT_ENGINE_TIME, JobEvent, JobId, JobSpec, PieceEnd, Rank,
+    ServerAvailability, ServerRecord, StageSpec,
 };
 use amaranthscale_core::version::{BatchSpec, CallerBounds, Pool, Routing};
 
@@ -29,7 +29,7 @@
     /// Servers that have started again, and how often.
     restarts: BTreeMap<String, u64>,
     /// What may be sent to the servers of a zone, where it is not everything.
-    uses: BTreeMap<String, ServerUse>,
+    uses: BTreeMap<String, ServerAvailability>,
 }
 
 impl Bench {
@@ -67,7 +67,7 @@
     }
 
     /// Says what may be sent to the servers of a zone from now on.
-    pub fn set_use(&mut self, zone: &str, server_use: ServerUse) {
+    pub fn set_use(&mut self, zone: &str, server_use: ServerAvailability) {
         self.uses.insert(zone.to_owned(), server_use);
         let zones = self.zones.clone();
         let zones: Vec<_> = zones.iter().map(String::as_str).collect();
@@ -90,7 +90,7 @@
         let records = services.iter().flat_map(|service| {
             let servers = zones.iter().enumerate();
             servers.map(move |(index, zone)| ServerRecord {
-                life: life(service, index),
+                incarnation: life(service, index),
                 ..record(service, zone)
             })
         });
@@ -98,7 +98,7 @@
         let uses = &self.uses;
         let with_use = records.iter().map(|record| {
             let server_use = uses.get(record.zone.as_str()).copied();
-            (record, server_use.unwrap_or(ServerUse::Free))
+            (record, server_use.unwrap_or(ServerAvailability::Free))
         });
         self.batcher.set_servers(&routing, with_use, self.now);
     }
@@ -108,7 +108,7 @@
     }
 
     /// Submits an order that must be taken.
-    pub fn submit(&mut self, order: PipelineOrder) -> JobId {
+    pub fn submit(&mut self, order: JobSpec) -> JobId {
         self.batcher.submit(order, self.now).unwrap()
     }
 
@@ -130,7 +130,7 @@
     /// Ends a call with all its pieces made.
     pub fn make(&mut self, batch: &Batch) -> Vec<ResultHandle> {
         let handles: Vec<_> = batch.items.iter().map(|_| self.handle()).collect();
-        let ends = handles.iter().cloned().map(PieceEnd::Made).collect();
+        let ends = handles.iter().cloned().map(PieceEnd::Completed).collect();
         self.end(batch, BatchEnd::Pieces(ends));
         handles
     }
@@ -142,9 +142,9 @@
 
     /// Names of all results that are freed now.
     pub fn freed(&mut self) -> Vec<ResultHandle> {
-        let frees = self.batcher.take_frees(|_server| true);
+        let frees = self.batcher.take_free_requests(|_server| true);
         for free in &frees {
-            self.batcher.freed(free);
+            self.batcher.results_freed(free);
         }
         frees.into_iter().flat_map(|free| free.handles).collect()
     }
@@ -157,29 +157,29 @@
     }
 
     /// An order of stages, each after the one before.
-    pub fn chain(&mut self, stages: &[(&str, usize, u64)]) -> PipelineOrder {
+    pub fn chain(&mut self, stages: &[(&str, usize, u64)]) -> JobSpec {
         self.calls += 1;
         let stages = stages.iter().enumerate();
-        let stages = stages.map(|(index, (service, pieces, result_bytes))| StageOrder {
+        let stages = stages.map(|(index, (service, pieces, result_bytes))| StageSpec {
             service: service.parse().unwrap(),
-            after: index.checked_sub(1).into_iter().collect(),
+            depends_on: index.checked_sub(1).into_iter().collect(),
             pieces: *pieces,
             result_bytes: *result_bytes,
         });
-        PipelineOrder {
+        JobSpec {
             call: format!("call-{}", self.calls).parse().unwrap(),
             route: "route".parse().unwrap(),
-            cell: Cell::WHOLE,
+            cell: Cell::SINGLE,
             piece_key: "key".to_owned(),
             stages: stages.collect(),
             rank: Rank::default(),
-            worth_tokens: 0,
-            aim: ms(2_000),
-            aim_left: ms(2_000),
+            value_tokens: 0,
+            target_latency: ms(2_000),
+            target_latency_left: ms(2_000),
             deadline_left: ms(15_000),
-            engine_time: USUAL_ENGINE_TIME,
+            engine_time: DEFAULT_ENGINE_TIME,
             reader_zone: "north".parse().unwrap(),
-            kept: Vec::new(),
+            retained: Vec::new(),
         }
     }
 }
@@ -203,7 +203,7 @@
 
 fn record(service: &str, zone: &str) -> ServerRecord {
     ServerRecord {
-        life: service.parse().unwrap(),
+        incarnation: service.parse().unwrap(),
         service: service.parse().unwrap(),
         address: "127.0.0.1:9000".parse().unwrap(),
         zone: zone.parse().unwrap(),
--- a/crates/core/tests/batcher/burst.rs
+++ b/crates/core/tests/batcher/burst.rs
@@ -19,12 +19,12 @@
     }
     for _ in 0..waiting {
         let mut order = bench.chain(&[(ENCODE, 1, LARGE_BYTES)]);
-        order.aim_left = ms(60_000);
+        order.target_latency_left = ms(60_000);
         bench.submit(order);
     }
-    let before = bench.batcher.looked_at();
+    let before = bench.batcher.examined_stages();
     assert!(bench.next_batches().is_empty());
-    bench.batcher.looked_at() - before
+    bench.batcher.examined_stages() - before
 }
 
 /// Engines read large results late, and all servers are free but out of room. Each free server
@@ -51,15 +51,15 @@
     }
     for _ in 0..30 {
         let mut order = bench.chain(&[(ENCODE, 1, 100)]);
-        order.aim_left = ms(50);
+        order.target_latency_left = ms(50);
         bench.submit(order);
     }
     bench.advance(20);
-    let before = bench.batcher.looked_at();
+    let before = bench.batcher.examined_stages();
 
     assert!(bench.next_batches().is_empty());
 
-    assert_eq!(bench.batcher.looked_at() - before, in_time + 1);
+    assert_eq!(bench.batcher.examined_stages() - before, in_time + 1);
 }
 
 /// Large results wait for room. Small ones behind them fit, and must not wait for it.
--- a/crates/core/tests/batcher/cut_off.rs
+++ b/crates/core/tests/batcher/cut_off.rs
@@ -25,11 +25,11 @@
     submit(&mut bench, 2);
     let batch = bench.next_batch();
 
-    bench.end(&batch, BatchEnd::CutOff);
+    bench.end(&batch, BatchEnd::ConnectionLost);
 
     let events = bench.batcher.take_events();
     let told = events.iter().filter(|event| {
-        matches!(event, JobEvent::CutOff(_, server, address)
+        matches!(event, JobEvent::ConnectionLost(_, server, address)
             if *server == batch.server && *address == batch.address)
     });
     assert_eq!(told.count(), 2);
@@ -43,7 +43,7 @@
     for _ in 0..2 {
         let batch = bench.next_batch();
         assert_eq!(calls(&batch).len(), 2);
-        bench.end(&batch, BatchEnd::CutOff);
+        bench.end(&batch, BatchEnd::ConnectionLost);
         bench.restart("encode-0");
         bench.advance(700);
     }
@@ -59,7 +59,7 @@
     submit(&mut bench, 1);
     for _ in 0..3 {
         let batch = bench.next_batch();
-        bench.end(&batch, BatchEnd::CutOff);
+        bench.end(&batch, BatchEnd::ConnectionLost);
     }
 
     let events = bench.events();
--- a/crates/core/tests/batcher/ends.rs
+++ b/crates/core/tests/batcher/ends.rs
@@ -37,7 +37,7 @@
     let batch = bench.next_batch();
     bench.advance(300);
 
-    bench.end(&batch, BatchEnd::Lost);
+    bench.end(&batch, BatchEnd::NoAnswer);
 
     let again = bench.next_batch();
     assert_ne!(again.server, batch.server);
@@ -51,7 +51,7 @@
     bench.submit(order);
     let batch = bench.next_batch();
 
-    bench.end(&batch, BatchEnd::Full);
+    bench.end(&batch, BatchEnd::Rejected);
 
     assert!(bench.next_batches().is_empty());
     bench.advance(100);
@@ -71,7 +71,7 @@
     let second = bench.next_batch();
     bench.advance(10);
 
-    bench.end(&second, BatchEnd::Pieces(vec![PieceEnd::InputGone]));
+    bench.end(&second, BatchEnd::Pieces(vec![PieceEnd::InputMissing]));
 
     let again = bench.next_batch();
     assert_eq!(again.service.as_str(), ENCODE);
@@ -126,8 +126,8 @@
     bench.submit(busy);
     let _running = bench.next_batch();
     let mut order = bench.chain(&[(ENCODE, 1, 100)]);
-    order.aim = ms(500);
-    order.aim_left = order.aim;
+    order.target_latency = ms(500);
+    order.target_latency_left = order.target_latency;
     let job = bench.submit(order);
 
     bench.advance(700);
--- a/crates/core/tests/batcher/kept.rs
+++ b/crates/core/tests/batcher/kept.rs
@@ -2,24 +2,24 @@
 
 use std::collections::BTreeMap;
 
-use amaranthscale_core::process::{JobEvent, KeptPiece, PieceInput};
+use amaranthscale_core::process::{JobEvent, PieceInput, RetainedResult};
 
 use super::bench::{Bench, ENCODE, RERANK, RETRIEVE, ROOM_BYTES, ms};
 
 /// What the gateway of the only request was told to be made.
-fn told(bench: &mut Bench) -> Vec<KeptPiece> {
+fn told(bench: &mut Bench) -> Vec<RetainedResult> {
     let mut told = BTreeMap::new();
     for event in bench.batcher.take_events() {
         match event {
-            JobEvent::Made(_, pieces) => {
+            JobEvent::ResultsStored(_, pieces) => {
                 told.extend(
                     pieces
                         .into_iter()
                         .map(|piece| ((piece.stage, piece.piece), piece)),
                 );
             }
-            JobEvent::Dropped(_, stage) => told.retain(|(of, _), _| *of != stage),
-            JobEvent::Done(..) | JobEvent::Failed(..) | JobEvent::CutOff(..) => {}
+            JobEvent::ResultsDropped(_, stage) => told.retain(|(of, _), _| *of != stage),
+            JobEvent::Done(..) | JobEvent::Failed(..) | JobEvent::ConnectionLost(..) => {}
         }
     }
     told.into_values().collect()
@@ -34,7 +34,7 @@
     bench.submit(order.clone());
     let batch = bench.next_batch();
     let made = bench.make(&batch);
-    order.kept = told(&mut bench);
+    order.retained = told(&mut bench);
 
     bench.change_owner();
     bench.submit(order);
@@ -78,8 +78,8 @@
         bench.make(&batch);
         bench.advance(20);
     }
-    order.kept = told(&mut bench);
-    assert_eq!(order.kept.len(), 1, "{:?}", order.kept);
+    order.retained = told(&mut bench);
+    assert_eq!(order.retained.len(), 1, "{:?}", order.retained);
 
     bench.change_owner();
     bench.submit(order);
@@ -96,7 +96,7 @@
     bench.submit(order.clone());
     let batch = bench.next_batch();
     bench.make(&batch);
-    order.kept = told(&mut bench);
+    order.retained = told(&mut bench);
 
     bench.change_owner();
     bench.submit(order);
@@ -123,9 +123,9 @@
         bench.submit(order.clone());
         let batch = bench.next_batch();
         bench.make(&batch);
-        order.kept = told(&mut bench);
+        order.retained = told(&mut bench);
         if is_old {
-            order.kept[0].age = ms(3_900);
+            order.retained[0].age = ms(3_900);
         } else {
             bench.restart("encode-0");
         }
@@ -142,7 +142,7 @@
 fn pieces_that_cannot_be_are_passed_over() {
     let mut bench = Bench::new(&["north"]);
     let mut order = bench.chain(&[(ENCODE, 1, 1_000)]);
-    let piece = |stage, piece| KeptPiece {
+    let piece = |stage, piece| RetainedResult {
         stage,
         piece,
         handle: "10.0.0.1:80/x".parse().unwrap(),
@@ -150,7 +150,7 @@
         address: "127.0.0.1:9000".parse().unwrap(),
         age: ms(0),
     };
-    order.kept = vec![piece(7, 0), piece(0, 7)];
+    order.retained = vec![piece(7, 0), piece(0, 7)];
 
     bench.submit(order);
 
--- a/crates/core/tests/batcher/lives.rs
+++ b/crates/core/tests/batcher/lives.rs
@@ -59,7 +59,7 @@
     let again = bench.next_batch();
     assert_ne!(again.server, batch.server);
     bench.make(&again);
-    bench.end(&batch, BatchEnd::Lost);
+    bench.end(&batch, BatchEnd::NoAnswer);
     assert!(matches!(&bench.events()[..], [JobEvent::Done(done, _, _)] if *done == job));
 }
 
@@ -87,7 +87,7 @@
     let order = bench.chain(&[(ENCODE, 1, 1_000)]);
     bench.submit(order);
     let batch = bench.next_batch();
-    bench.end(&batch, BatchEnd::Lost);
+    bench.end(&batch, BatchEnd::NoAnswer);
     bench.advance(20);
     assert!(bench.next_batches().is_empty());
 
