--- a/crates/core/tests/batcher/order.rs
+++ b/crates/core/tests/batcher/order.rs
@@ -83,8 +83,8 @@
 fn the_request_with_less_time_goes_first() {
     let mut bench = Bench::new(&["north"]);
     let mut patient = bench.chain(&[(ENCODE, 10, 100)]);
-    patient.aim = ms(5_000);
-    patient.aim_left = patient.aim;
+    patient.target_latency = ms(5_000);
+    patient.target_latency_left = patient.target_latency;
     let hurried = bench.chain(&[(ENCODE, 10, 100)]);
     let hurried_call = hurried.call.clone();
     bench.submit(patient);
@@ -102,11 +102,11 @@
     let mut bench = Bench::new(&["north"]);
     for _ in 0..3 {
         let mut cheap = bench.chain(&[(ENCODE, 10, 100)]);
-        cheap.worth_tokens = 1_000;
+        cheap.value_tokens = 1_000;
         bench.submit(cheap);
     }
     let mut dear = bench.chain(&[(ENCODE, 10, 100)]);
-    dear.worth_tokens = 8_000;
+    dear.value_tokens = 8_000;
     let dear_call = dear.call.clone();
     bench.submit(dear);
 
@@ -139,12 +139,12 @@
         let mut large = bench.chain(&[(ENCODE, 10, 100)]);
         large.route = "large".parse().unwrap();
         large.rank.route = 1;
-        large.worth_tokens = 40_000;
+        large.value_tokens = 40_000;
         bench.submit(large);
     }
     let mut urgent = bench.chain(&[(ENCODE, 10, 100)]);
     urgent.route = "urgent".parse().unwrap();
-    urgent.worth_tokens = 1_000;
+    urgent.value_tokens = 1_000;
     let urgent_call = urgent.call.clone();
     bench.submit(urgent);
 
@@ -160,12 +160,12 @@
     let mut bench = Bench::new(&["north"]);
     let mut short = bench.chain(&[(ENCODE, 10, 100)]);
     short.route = "short".parse().unwrap();
-    short.worth_tokens = 1_000;
+    short.value_tokens = 1_000;
     let short_call = short.call.clone();
     let mut long = bench.chain(&[(ENCODE, 10, 100)]);
     long.route = "long".parse().unwrap();
-    long.worth_tokens = 40_000;
-    long.aim_left += ms(50);
+    long.value_tokens = 40_000;
+    long.target_latency_left += ms(50);
     bench.submit(long);
     bench.submit(short);
 
@@ -227,15 +227,15 @@
     let mut bench = Bench::new(&["north"]);
     let too_many = bench.chain(&[(ENCODE, 1_000_000_000_000, 100)]);
     let mut waits_for_itself = bench.chain(&[(ENCODE, 1, 100)]);
-    waits_for_itself.stages[0].after = vec![0];
+    waits_for_itself.stages[0].depends_on = vec![0];
     let mut waits_for_nothing = bench.chain(&[(ENCODE, 1, 100), (RETRIEVE, 1, 100)]);
-    waits_for_nothing.stages[1].after = vec![7];
+    waits_for_nothing.stages[1].depends_on = vec![7];
 
     for order in [too_many, waits_for_itself, waits_for_nothing] {
         let refused = bench.batcher.submit(order, bench.now).unwrap_err();
         assert_eq!(refused.reason, JobFailure::Malformed);
     }
-    assert_eq!(bench.batcher.jobs(), 0);
+    assert_eq!(bench.batcher.job_count(), 0);
 }
 
 #[test]
@@ -320,13 +320,13 @@
     bench.submit(order);
     let _ahead = bench.next_batch();
     let mut hopeless = bench.chain(&[(RETRIEVE, 8, 100)]);
-    hopeless.aim = ms(1_000);
-    hopeless.aim_left = hopeless.aim;
+    hopeless.target_latency = ms(1_000);
+    hopeless.target_latency_left = hopeless.target_latency;
     let hopeless = bench.submit(hopeless);
     for _ in 0..10 {
         let mut patient = bench.chain(&[(RETRIEVE, 10, 100)]);
-        patient.aim = ms(20_000);
-        patient.aim_left = patient.aim;
+        patient.target_latency = ms(20_000);
+        patient.target_latency_left = patient.target_latency;
         patient.deadline_left = ms(30_000);
         bench.submit(patient);
     }
@@ -347,8 +347,8 @@
 fn a_request_that_comes_from_a_lost_owner_is_still_made() {
     let mut bench = Bench::new(&["north"]);
     let mut order = bench.chain(&[(ENCODE, 4, 100)]);
-    order.aim = ms(1_000);
-    order.aim_left = ms(0);
+    order.target_latency = ms(1_000);
+    order.target_latency_left = ms(0);
     order.deadline_left = ms(13_000);
 
     bench.submit(order);
--- a/crates/core/tests/batcher/random.rs
+++ b/crates/core/tests/batcher/random.rs
@@ -8,7 +8,7 @@
 
 use amaranthscale_core::id::{ResultHandle, ServerIncarnation};
 use amaranthscale_core::process::{
-    Batch, BatchEnd, JobEvent, JobId, KeptPiece, PieceEnd, PieceInput, PipelineOrder,
+    Batch, BatchEnd, JobEvent, JobId, JobSpec, PieceEnd, PieceInput, RetainedResult,
 };
 use quickcheck::{Arbitrary, Gen};
 
@@ -32,8 +32,8 @@
     kept: BTreeMap<ResultHandle, ServerIncarnation>,
     freed: BTreeSet<ResultHandle>,
     /// What each open job's gateway knows: its order, and what it was told to be made.
-    orders: BTreeMap<JobId, PipelineOrder>,
-    told: BTreeMap<JobId, BTreeMap<(usize, usize), KeptPiece>>,
+    orders: BTreeMap<JobId, JobSpec>,
+    told: BTreeMap<JobId, BTreeMap<(usize, usize), RetainedResult>>,
 }
 
 impl World {
@@ -45,11 +45,11 @@
             (RETRIEVE, pieces[1], 60_000),
             (RERANK, pieces[2], 120_000),
         ]);
-        order.worth_tokens = pick(random, 5) * 1_000;
+        order.value_tokens = pick(random, 5) * 1_000;
         self.resubmit(bench, order);
     }
 
-    fn resubmit(&mut self, bench: &mut Bench, order: PipelineOrder) {
+    fn resubmit(&mut self, bench: &mut Bench, order: JobSpec) {
         if let Ok(job) = bench.batcher.submit(order.clone(), bench.now) {
             self.open.insert(job);
             self.told.insert(job, told(&order));
@@ -76,9 +76,9 @@
             .running
             .remove(usize::try_from(pick(random, count)).unwrap());
         let end = match pick(random, 12) {
-            0 => BatchEnd::Lost,
-            1 => BatchEnd::Full,
-            2 => BatchEnd::CutOff,
+            0 => BatchEnd::NoAnswer,
+            1 => BatchEnd::Rejected,
+            2 => BatchEnd::ConnectionLost,
             _ => {
                 let ends = batch.items.iter();
                 let ends = ends.map(|_| self.piece_end(bench, random, &batch.server));
@@ -112,7 +112,7 @@
             }
             let told = told_before.remove(&job).unwrap_or_default();
             let mut order = orders[&job].clone();
-            order.kept = told.into_values().collect();
+            order.retained = told.into_values().collect();
             self.resubmit(bench, order);
         }
         // What no order names lapses by itself.
@@ -142,14 +142,14 @@
     ) -> PieceEnd {
         match pick(random, 30) {
             0 => PieceEnd::Failed,
-            1 => PieceEnd::NoRoom,
-            2 => PieceEnd::InputGone,
+            1 => PieceEnd::StorageFull,
+            2 => PieceEnd::InputMissing,
             _ => {
                 let handle = bench.handle();
                 if bench.life(server.id().as_str()) == *server {
                     self.kept.insert(handle.clone(), server.clone());
                 }
-                PieceEnd::Made(handle)
+                PieceEnd::Completed(handle)
             }
         }
     }
@@ -177,7 +177,7 @@
         for event in bench.batcher.take_events() {
             let job = match event {
                 JobEvent::Done(job, _, _) | JobEvent::Failed(job, _) => job,
-                JobEvent::Made(job, pieces) => {
+                JobEvent::ResultsStored(job, pieces) => {
                     let told = self.told.entry(job).or_default();
                     told.extend(
                         pieces
@@ -186,8 +186,8 @@
                     );
                     continue;
                 }
-                JobEvent::CutOff(..) => continue,
-                JobEvent::Dropped(job, stage) => {
+                JobEvent::ConnectionLost(..) => continue,
+                JobEvent::ResultsDropped(job, stage) => {
                     let told = self.told.entry(job).or_default();
                     told.retain(|(of, _), _| *of != stage);
                     continue;
@@ -205,8 +205,8 @@
     }
 }
 
-fn told(order: &PipelineOrder) -> BTreeMap<(usize, usize), KeptPiece> {
-    let kept = order.kept.iter();
+fn told(order: &JobSpec) -> BTreeMap<(usize, usize), RetainedResult> {
+    let kept = order.retained.iter();
     kept.map(|piece| ((piece.stage, piece.piece), piece.clone()))
         .collect()
 }
@@ -239,8 +239,8 @@
         "{} results are never freed",
         world.kept.len()
     );
-    assert_eq!(bench.batcher.jobs(), 0);
-    assert_eq!(bench.batcher.waiting(), 0);
+    assert_eq!(bench.batcher.job_count(), 0);
+    assert_eq!(bench.batcher.queued_stages(), 0);
 }
 
 #[test]
--- a/crates/core/tests/batcher/room.rs
+++ b/crates/core/tests/batcher/room.rs
@@ -1,6 +1,6 @@
 //! The account of servers' room for results.
 
-use amaranthscale_core::process::{BatchEnd, PieceEnd, ToldLoad};
+use amaranthscale_core::process::{BatchEnd, PieceEnd, ServerLoad};
 
 use super::bench::{Bench, ENCODE, RETRIEVE, ms};
 
@@ -65,13 +65,13 @@
     bench.submit(order);
     let first = bench.next_batch();
     bench.advance(1_100);
-    let other = ToldLoad {
+    let other = ServerLoad {
         running: 1,
         waiting: 0,
         slots: 1,
     };
     let handle = bench.handle();
-    let made = BatchEnd::Pieces(vec![PieceEnd::Made(handle.clone())]);
+    let made = BatchEnd::Pieces(vec![PieceEnd::Completed(handle.clone())]);
     bench
         .batcher
         .batch_ended(first.id, made, Some(other), bench.now);
@@ -110,7 +110,7 @@
     let batch = bench.next_batch();
     bench.advance(1_000);
 
-    bench.end(&batch, BatchEnd::Lost);
+    bench.end(&batch, BatchEnd::NoAnswer);
 
     bench.advance(700);
     assert!(bench.next_batches().is_empty());
@@ -128,7 +128,7 @@
     let batch = bench.next_batch();
     bench.advance(230);
 
-    bench.end(&batch, BatchEnd::Pieces(vec![PieceEnd::NoRoom; 3]));
+    bench.end(&batch, BatchEnd::Pieces(vec![PieceEnd::StorageFull; 3]));
 
     bench.advance(100);
     assert!(bench.next_batches().is_empty());
@@ -156,8 +156,8 @@
     bench.freed();
     bench.advance(220);
 
-    let made = PieceEnd::Made(bench.handle());
-    bench.end(&batch, BatchEnd::Pieces(vec![made, PieceEnd::NoRoom]));
+    let made = PieceEnd::Completed(bench.handle());
+    bench.end(&batch, BatchEnd::Pieces(vec![made, PieceEnd::StorageFull]));
     bench.batcher.release(job);
     bench.freed();
 
--- a/crates/core/tests/batcher/withheld.rs
+++ b/crates/core/tests/batcher/withheld.rs
@@ -1,6 +1,6 @@
 //! Servers of evacuated zones, and cold ones.
 
-use amaranthscale_core::process::{BatchEnd, JobEvent, JobFailure, ServerUse};
+use amaranthscale_core::process::{BatchEnd, JobEvent, JobFailure, ServerAvailability};
 
 use super::bench::{Bench, ENCODE, RETRIEVE, ms};
 
@@ -9,7 +9,7 @@
 #[test]
 fn an_evacuated_zone_gets_no_calls() {
     let mut bench = Bench::new(&["north", "south"]);
-    bench.set_use("south", ServerUse::Evacuated);
+    bench.set_use("south", ServerAvailability::Evacuated);
 
     for _ in 0..20 {
         let order = bench.chain(&[(ENCODE, 4, 1_000)]);
@@ -27,7 +27,7 @@
 #[test]
 fn what_an_evacuated_zone_made_is_used() {
     let mut bench = Bench::new(&["north", "south"]);
-    bench.set_use("north", ServerUse::Evacuated);
+    bench.set_use("north", ServerAvailability::Evacuated);
     let order = bench.chain(&[(ENCODE, 2, 1_000), (RETRIEVE, 2, 1_000)]);
     bench.submit(order);
     let first = bench.next_batch();
@@ -35,8 +35,8 @@
     bench.advance(220);
     bench.make(&first);
 
-    bench.set_use("south", ServerUse::Evacuated);
-    bench.set_use("north", ServerUse::Free);
+    bench.set_use("south", ServerAvailability::Evacuated);
+    bench.set_use("north", ServerAvailability::Free);
     let second = bench.next_batch();
 
     assert_eq!(second.zone.as_str(), "north");
@@ -53,7 +53,7 @@
     let job = bench.submit(order);
     let first = bench.next_batch();
 
-    bench.set_use("north", ServerUse::Evacuated);
+    bench.set_use("north", ServerAvailability::Evacuated);
     bench.advance(30);
     assert!(bench.next_batches().is_empty());
 
@@ -72,13 +72,13 @@
 #[test]
 fn a_withheld_call_is_made_elsewhere() {
     let mut bench = Bench::new(&["north", "south"]);
-    bench.set_use("south", ServerUse::Evacuated);
+    bench.set_use("south", ServerAvailability::Evacuated);
     let order = bench.chain(&[(ENCODE, 3, 1_000)]);
     bench.submit(order);
     let withheld = bench.next_batch();
 
-    bench.set_use("north", ServerUse::Evacuated);
-    bench.set_use("south", ServerUse::Free);
+    bench.set_use("north", ServerAvailability::Evacuated);
+    bench.set_use("south", ServerAvailability::Free);
     bench.end(&withheld, BatchEnd::NotSent);
     let again = bench.next_batch();
 
@@ -92,9 +92,9 @@
 fn a_cold_server_gets_the_owners_share_of_calls() {
     let mut bench = Bench::new(&["north"]);
     let until = bench.now + ms(5_000);
-    let cold = ServerUse::Cold {
+    let cold = ServerAvailability::Cold {
         until,
-        most_per_s: 4.0,
+        max_per_s: 4.0,
     };
     bench.set_use("north", cold);
     let mut calls_at = Vec::new();
--- a/crates/core/tests/cell.rs
+++ b/crates/core/tests/cell.rs
@@ -12,7 +12,7 @@
 
 fn server(service: &str, index: usize) -> ServerRecord {
     ServerRecord {
-        life: format!("{service}-{index}").parse().unwrap(),
+        incarnation: format!("{service}-{index}").parse().unwrap(),
         service: service.parse().unwrap(),
         address: "127.0.0.1:9000".parse().unwrap(),
         zone: "north".parse().unwrap(),
@@ -66,7 +66,7 @@
 fn a_deployment_of_some_hundred_servers_is_one_cell() {
     assert_eq!(Cell::count([19, 15, 16]), 1);
     assert_eq!(Cell::count([]), 1);
-    assert_eq!(cells(1), BTreeSet::from([Cell::WHOLE]));
+    assert_eq!(cells(1), BTreeSet::from([Cell::SINGLE]));
 }
 
 /// A deployment grows to thousands of servers. One owner of all batches used up its processor, and
@@ -96,9 +96,9 @@
         let mut of_service: BTreeMap<&str, usize> = BTreeMap::new();
         for server in own {
             assert!(
-                seen.insert(server.life.clone()),
+                seen.insert(server.incarnation.clone()),
                 "{} is in two",
-                server.life
+                server.incarnation
             );
             *of_service.entry(server.service.as_str()).or_default() += 1;
         }
@@ -119,7 +119,9 @@
     for cell in cells(8) {
         let ids = |servers: &[ServerRecord]| -> BTreeSet<_> {
             let own = cell.servers(servers.iter());
-            own.into_iter().map(|server| server.life.clone()).collect()
+            own.into_iter()
+                .map(|server| server.incarnation.clone())
+                .collect()
         };
         moved += ids(&after).difference(&ids(&before)).count();
     }
@@ -148,7 +150,7 @@
     let owner = |view: &InstanceView, cell: &Cell| view.owner(*cell, Duration::ZERO).0.clone();
     let before: Vec<_> = cells.iter().map(|cell| owner(&view, cell)).collect();
 
-    view.silent(&before[0], Duration::ZERO);
+    view.mark_unresponsive(&before[0], Duration::ZERO);
 
     for (cell, before_it) in cells.iter().zip(&before) {
         let moves = owner(&view, cell) != *before_it;
@@ -161,7 +163,7 @@
 fn a_cell_that_cannot_be_is_told_from_others() {
     let read = |text: &str| serde_json::from_str::<Cell>(text).unwrap();
 
-    assert!(Cell::WHOLE.is_well_formed());
+    assert!(Cell::SINGLE.is_well_formed());
     assert!(read(r#"{"index":7,"of":8}"#).is_well_formed());
     assert!(!read(r#"{"index":8,"of":8}"#).is_well_formed());
     assert!(!read(r#"{"index":0,"of":0}"#).is_well_formed());
--- a/crates/core/tests/connection_share.rs
+++ b/crates/core/tests/connection_share.rs
@@ -7,7 +7,7 @@
 
 use amaranthscale_core::id::ZoneId;
 use amaranthscale_core::process::{
-    BackendChoice, ConnectionShare, SendEnd, SendingEntry, ServerRecord,
+    ConnectionShare, SendEnd, SendingEntry, ServerRecord, ServerSelector,
 };
 
 const NOW: Duration = Duration::from_secs(100);
@@ -19,7 +19,7 @@
 
 fn servers(count: u32) -> Vec<ServerRecord> {
     let server = |index: u32| ServerRecord {
-        life: format!("s{index}").parse().unwrap(),
+        incarnation: format!("s{index}").parse().unwrap(),
         service: "scale".parse().unwrap(),
         address: "127.0.0.1:9000".parse().unwrap(),
         zone: zone(index),
@@ -36,11 +36,11 @@
     let zone = zone(entry);
     let share = ConnectionShare::of(130, servers.len(), 100);
     let entry = SendingEntry::new(&id, &zone, share);
-    let mut choice = BackendChoice::default();
+    let mut choice = ServerSelector::default();
     let send = |_| {
-        let chosen = choice.plain(servers.iter().collect(), &BTreeSet::new(), entry, NOW);
-        let life = chosen.unwrap().life.clone();
-        choice.sent(&life);
+        let chosen = choice.select_plain(servers.iter().collect(), &BTreeSet::new(), entry, NOW);
+        let life = chosen.unwrap().incarnation.clone();
+        choice.record_send(&life);
         life.to_string()
     };
     (0..at_once).map(send).collect()
@@ -97,25 +97,25 @@
     let servers = servers(12);
     let (id, zone) = ("entry-1".parse().unwrap(), zone(1));
     let entry = SendingEntry::new(&id, &zone, ConnectionShare::of(130, 12, 100));
-    let mut choice = BackendChoice::default();
+    let mut choice = ServerSelector::default();
     let none = BTreeSet::new();
     let sick = choice
-        .plain(servers.iter().collect(), &none, entry, NOW)
+        .select_plain(servers.iter().collect(), &none, entry, NOW)
         .unwrap();
     for _ in 0..2 {
-        choice.sent(&sick.life);
-        choice.ended(&sick.life, SendEnd::Failed, Duration::ZERO, NOW);
+        choice.record_send(&sick.incarnation);
+        choice.record_end(&sick.incarnation, SendEnd::Failed, Duration::ZERO, NOW);
     }
 
     let mut used = BTreeSet::new();
     for _ in 0..8 {
         let chosen = choice
-            .plain(servers.iter().collect(), &none, entry, NOW)
+            .select_plain(servers.iter().collect(), &none, entry, NOW)
             .unwrap();
-        choice.sent(&chosen.life);
-        used.insert(chosen.life.clone());
+        choice.record_send(&chosen.incarnation);
+        used.insert(chosen.incarnation.clone());
     }
 
     assert_eq!(used.len(), 4);
-    assert!(!used.contains(&sick.life));
+    assert!(!used.contains(&sick.incarnation));
 }
--- a/crates/core/tests/instance_random.rs
+++ b/crates/core/tests/instance_random.rs
@@ -167,7 +167,7 @@
     fn read_all(&mut self, number: usize) {
         let machine = &mut self.machines[number];
         let ids: Vec<_> = self.rows.keys().cloned().collect();
-        machine.view.keep_only(&ids);
+        machine.view.retain_listed(&ids);
         let is_own_gone = !ids.contains(&machine.id);
         let mut earlier_lives = Vec::new();
         for (id, (announcement, since)) in &self.rows {
@@ -210,7 +210,7 @@
     /// Gives a job to the owner, and the next one as long as the owner is silent.
     fn ask(&mut self, number: usize) {
         for _ in 0..MACHINES {
-            let owner = self.machines[number].view.owner(Cell::WHOLE, self.now);
+            let owner = self.machines[number].view.owner(Cell::SINGLE, self.now);
             let owner = owner.0.clone();
             if owner == self.machines[number].id {
                 return;
@@ -224,9 +224,9 @@
         let now = self.now;
         let view = &mut self.machines[number].view;
         if is_reached {
-            view.heard(id);
+            view.mark_responsive(id);
         } else {
-            view.silent(id, now);
+            view.mark_unresponsive(id, now);
         }
     }
 
@@ -234,10 +234,10 @@
     fn tend(&mut self, number: usize) {
         let now = self.now;
         let machine = &self.machines[number];
-        let others = machine.view.others(now);
+        let others = machine.view.live_others(now);
         let reaches_another =
             others.is_empty() || others.iter().any(|(id, _)| self.reaches(number, id));
-        let mut gone = machine.view.forgotten(now);
+        let mut gone = machine.view.expired(now);
         if reaches_another {
             let displaced = machine.view.displaced(now).into_iter();
             gone.extend(displaced.filter(|id| !machine.removed.contains(id)));
@@ -248,7 +248,7 @@
             }
             self.machines[number].removed.extend(gone);
         }
-        for (id, _) in self.machines[number].view.passed_over(now) {
+        for (id, _) in self.machines[number].view.unresponsive(now) {
             self.question(number, &id);
         }
     }
@@ -265,7 +265,7 @@
 
     fn owners(&self) -> BTreeSet<InstanceId> {
         let machines = self.machines.iter();
-        let owners = machines.map(|machine| machine.view.owner(Cell::WHOLE, self.now).0.clone());
+        let owners = machines.map(|machine| machine.view.owner(Cell::SINGLE, self.now).0.clone());
         owners.collect()
     }
 }
--- a/crates/core/tests/instance_view.rs
+++ b/crates/core/tests/instance_view.rs
@@ -31,7 +31,7 @@
 }
 
 fn owner(view: &InstanceView, now: Duration) -> String {
-    view.owner(Cell::WHOLE, now).0.to_string()
+    view.owner(Cell::SINGLE, now).0.to_string()
 }
 
 #[test]
@@ -88,10 +88,10 @@
     announce(&mut view, "a", 1, 10);
     announce(&mut view, "b", 2, 11);
 
-    view.silent(&id("a"), SECOND);
+    view.mark_unresponsive(&id("a"), SECOND);
 
     assert_eq!(owner(&view, 2 * SECOND), "b");
-    assert_eq!(view.live(2 * SECOND), 1);
+    assert_eq!(view.live_count(2 * SECOND), 1);
     assert_eq!(owner(&view, 5 * SECOND), "a");
 }
 
@@ -101,11 +101,11 @@
 fn entries_that_are_passed_over_are_named_until_they_are_tried_again() {
     let mut view = view("b", 2);
     announce(&mut view, "a", 1, 10);
-    assert!(view.passed_over(SECOND).is_empty());
+    assert!(view.unresponsive(SECOND).is_empty());
 
-    view.silent(&id("a"), SECOND);
-    let named = view.passed_over(2 * SECOND);
-    view.silent(&id("a"), 2 * SECOND);
+    view.mark_unresponsive(&id("a"), SECOND);
+    let named = view.unresponsive(2 * SECOND);
+    view.mark_unresponsive(&id("a"), 2 * SECOND);
 
     assert_eq!(named, [(id("a"), announcement(1).address)]);
     assert_eq!(
@@ -113,7 +113,7 @@
         "b",
         "no answer puts it off further"
     );
-    assert!(view.passed_over(5 * SECOND).is_empty());
+    assert!(view.unresponsive(5 * SECOND).is_empty());
 }
 
 /// The owner freezes for some seconds, and the next one takes its place. When the old one came back
@@ -127,8 +127,8 @@
     announce(&mut view, "c", 3, 12);
     assert!(view.displaced(SECOND).is_empty());
 
-    view.silent(&id("a"), SECOND);
-    view.silent(&id("c"), SECOND);
+    view.mark_unresponsive(&id("a"), SECOND);
+    view.mark_unresponsive(&id("c"), SECOND);
     let displaced = view.displaced(SECOND);
     view.withdrawn(&id("a"));
     announce(&mut view, "a", 1, 20);
@@ -145,7 +145,7 @@
     announce(&mut view, "b", 2, 11);
     announce(&mut view, "c", 3, 12);
 
-    view.silent(&id("a"), SECOND);
+    view.mark_unresponsive(&id("a"), SECOND);
 
     assert!(view.displaced(SECOND).is_empty());
 }
@@ -158,7 +158,7 @@
     announce(&mut view, "a", 1, 10);
     announce(&mut view, "b", 2, 11);
 
-    view.keep_only(&[id("b")]);
+    view.retain_listed(&[id("b")]);
 
     assert_eq!(owner(&view, SECOND), "b");
 }
@@ -167,9 +167,9 @@
 fn one_that_answers_is_taken_back_at_once() {
     let mut view = view("b", 2);
     announce(&mut view, "a", 1, 10);
-    view.silent(&id("a"), SECOND);
+    view.mark_unresponsive(&id("a"), SECOND);
 
-    view.heard(&id("a"));
+    view.mark_responsive(&id("a"));
 
     assert_eq!(owner(&view, SECOND), "a");
 }
@@ -194,10 +194,10 @@
 fn one_that_nobody_reaches_for_long_is_forgotten() {
     let mut view = view("b", 2);
     announce(&mut view, "a", 1, 10);
-    view.silent(&id("a"), SECOND);
+    view.mark_unresponsive(&id("a"), SECOND);
 
-    assert!(view.forgotten(5 * SECOND).is_empty());
-    assert_eq!(view.forgotten(14 * SECOND), [id("a")]);
+    assert!(view.expired(5 * SECOND).is_empty());
+    assert_eq!(view.expired(14 * SECOND), [id("a")]);
 }
 
 #[test]
@@ -205,12 +205,12 @@
     let mut view = view("a", 1);
     announce(&mut view, "a", 1, 10);
 
-    view.silent(&id("a"), SECOND);
+    view.mark_unresponsive(&id("a"), SECOND);
     view.withdrawn(&id("a"));
-    view.keep_only(&[]);
+    view.retain_listed(&[]);
 
     assert_eq!(owner(&view, SECOND), "a");
-    assert!(view.forgotten(60 * SECOND).is_empty());
+    assert!(view.expired(60 * SECOND).is_empty());
 }
 
 /// Views of entries of one zone, and one of another, that all know of each other.
@@ -274,7 +274,7 @@
     let mut views = zone_views(&["a-weak", "b", "c", "d-weak", "e-weak"]);
     let first = reader(&views[0], "");
     let second = reader(&views[0], &first);
-    views[0].silent(&id(&second), SECOND);
+    views[0].mark_unresponsive(&id(&second), SECOND);
 
     assert!(second == "b" || second == "c");
     assert_ne!(second, first);
--- a/crates/core/tests/knowledge_age.rs
+++ b/crates/core/tests/knowledge_age.rs
@@ -21,9 +21,9 @@
 #[test]
 fn an_answer_is_dated_by_when_it_was_given() {
     let mut freshness = Freshness::default();
-    freshness.answered(ms(1_000), ms(50_000));
+    freshness.record_answer(ms(1_000), ms(50_000));
 
-    freshness.answered(ms(2_000), ms(54_000));
+    freshness.record_answer(ms(2_000), ms(54_000));
 
     assert_eq!(freshness.age(ms(54_000)), Some(ms(3_000)));
 }
@@ -31,9 +31,9 @@
 #[test]
 fn an_older_answer_that_comes_later_makes_nothing_fresher() {
     let mut freshness = Freshness::default();
-    freshness.answered(ms(5_000), ms(55_000));
+    freshness.record_answer(ms(5_000), ms(55_000));
 
-    freshness.answered(ms(3_000), ms(56_000));
+    freshness.record_answer(ms(3_000), ms(56_000));
 
     assert_eq!(freshness.age(ms(56_000)), Some(ms(1_000)));
 }
@@ -42,7 +42,7 @@
 #[test]
 fn knowledge_ages_while_the_machine_is_suspended() {
     let mut freshness = Freshness::default();
-    freshness.answered(ms(1_000), ms(50_000));
+    freshness.record_answer(ms(1_000), ms(50_000));
 
     let age = freshness.age(ms(50_000 + 60_000));
 
@@ -60,7 +60,7 @@
         delays_ms.iter().all(|delay_ms| {
             given_ms += 1_000;
             let now_ms = 90_000 + given_ms + u64::from(*delay_ms);
-            freshness.answered(ms(given_ms), ms(now_ms));
+            freshness.record_answer(ms(given_ms), ms(now_ms));
             newest_ms = newest_ms.max(given_ms);
             let true_age_ms = now_ms - (90_000 + newest_ms);
             let age = freshness.age(ms(now_ms)).unwrap();
--- a/crates/core/tests/limit_share.rs
+++ b/crates/core/tests/limit_share.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use amaranthscale_core::process::{RecentSends, SendBound, SendShare};
+use amaranthscale_core::process::{RecentSends, SendRateLimit, SendShare};
 use entries::{Numbers, address, addresses, life};
 
 const STEP: Duration = Duration::from_millis(50);
@@ -29,7 +29,7 @@
 }
 
 fn share(server: usize, per_s: f64, servers: usize, own: usize, all: &[SocketAddr]) -> SendShare {
-    let bound = SendBound::Limited { most_per_s: per_s };
+    let bound = SendRateLimit::Limited { max_per_s: per_s };
     bound.share_of_entry(&life(server), servers, all[own], all)
 }
 
@@ -39,7 +39,7 @@
 
 /// Most sends of a share in a span that lies anywhere.
 fn most_in_span(share: SendShare) -> f64 {
-    let spans = SPAN.as_secs_f64() / share.span().as_secs_f64();
+    let spans = SPAN.as_secs_f64() / share.window().as_secs_f64();
     as_f64(share.sends()) * spans.ceil()
 }
 
@@ -55,7 +55,7 @@
                 let shares = (0..entries).map(|own| share(7, per_s, servers, own, &all));
                 let shares: Vec<_> = shares.filter(|share| share.sends() > 0).collect();
                 let most: f64 = shares.iter().copied().map(most_in_span).sum();
-                let rate = |share: &SendShare| as_f64(share.sends()) / share.span().as_secs_f64();
+                let rate = |share: &SendShare| as_f64(share.sends()) / share.window().as_secs_f64();
                 let rate: f64 = shares.iter().map(rate).sum();
 
                 let case = format!("{entries} entries, {per_s} a second, {servers} servers");
--- a/crates/core/tests/limit_words.rs
+++ b/crates/core/tests/limit_words.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use amaranthscale_core::id::ServerIncarnation;
-use amaranthscale_core::process::{LimitWords, ServerLimit};
+use amaranthscale_core::process::{ReportedLimits, ServerLimit};
 
 const fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -19,9 +19,9 @@
     text.parse().unwrap()
 }
 
-fn with_own_word() -> LimitWords {
-    let mut words = LimitWords::default();
-    assert!(words.heard(&server(), Some(limit("2")), at(900), at(1_000)));
+fn with_own_word() -> ReportedLimits {
+    let mut words = ReportedLimits::default();
+    assert!(words.record_answer(&server(), Some(limit("2")), at(900), at(1_000)));
     words
 }
 
@@ -47,7 +47,7 @@
 fn an_answer_without_a_limit_ends_it() {
     let mut words = with_own_word();
 
-    assert!(words.heard(&server(), None, at(1_100), at(1_200)));
+    assert!(words.record_answer(&server(), None, at(1_100), at(1_200)));
 
     assert_eq!(words.limit(&server()), None);
     assert!(words.is_empty());
@@ -58,7 +58,7 @@
 fn an_answer_to_an_earlier_request_ends_nothing() {
     let mut words = with_own_word();
 
-    assert!(!words.heard(&server(), None, at(950), at(1_200)));
+    assert!(!words.record_answer(&server(), None, at(950), at(1_200)));
 
     assert_eq!(words.limit(&server()), Some(limit("2")));
 }
@@ -66,23 +66,23 @@
 #[test]
 fn an_own_word_is_told_until_the_store_says_it() {
     let mut words = with_own_word();
-    assert_eq!(words.untold(), [(server(), Some(limit("2")))]);
+    assert_eq!(words.unpublished(), [(server(), Some(limit("2")))]);
 
-    words.stored(&server(), Some(limit("2")));
+    words.mark_published(&server(), Some(limit("2")));
 
-    assert!(words.untold().is_empty());
+    assert!(words.unpublished().is_empty());
 }
 
 /// Guards against a write for each answer of a server whose number trembles.
 #[test]
 fn a_limit_that_changes_little_is_no_news() {
     let mut words = with_own_word();
-    words.stored(&server(), Some(limit("2")));
+    words.mark_published(&server(), Some(limit("2")));
 
-    assert!(!words.heard(&server(), Some(limit("2.1")), at(1_100), at(1_200)));
-    assert!(words.untold().is_empty());
-    assert!(words.heard(&server(), Some(limit("1")), at(1_300), at(1_400)));
-    assert_eq!(words.untold(), [(server(), Some(limit("1")))]);
+    assert!(!words.record_answer(&server(), Some(limit("2.1")), at(1_100), at(1_200)));
+    assert!(words.unpublished().is_empty());
+    assert!(words.record_answer(&server(), Some(limit("1")), at(1_300), at(1_400)));
+    assert_eq!(words.unpublished(), [(server(), Some(limit("1")))]);
 }
 
 /// Guards against the store's older word that ends what a server has just said.
@@ -90,34 +90,34 @@
 fn an_own_word_that_is_not_told_yet_outlasts_the_stores_older_one() {
     let mut words = with_own_word();
 
-    assert!(!words.told(&server(), None, at(1_050)));
+    assert!(!words.apply_published(&server(), None, at(1_050)));
 
     assert_eq!(words.limit(&server()), Some(limit("2")));
-    assert_eq!(words.untold(), [(server(), Some(limit("2")))]);
+    assert_eq!(words.unpublished(), [(server(), Some(limit("2")))]);
 }
 
 #[test]
 fn another_ones_word_counts_and_is_not_told_again() {
-    let mut words = LimitWords::default();
+    let mut words = ReportedLimits::default();
 
-    assert!(words.told(&server(), Some(limit("3")), at(500)));
+    assert!(words.apply_published(&server(), Some(limit("3")), at(500)));
 
     assert_eq!(words.limit(&server()), Some(limit("3")));
-    assert!(words.untold().is_empty());
-    assert!(words.told(&server(), None, at(700)));
+    assert!(words.unpublished().is_empty());
+    assert!(words.apply_published(&server(), None, at(700)));
     assert!(words.is_empty());
 }
 
 /// Guards against a limit that stands for good, as those who hear its end do not tell it.
 #[test]
 fn the_end_of_another_ones_word_is_told() {
-    let mut words = LimitWords::default();
-    words.told(&server(), Some(limit("3")), at(500));
+    let mut words = ReportedLimits::default();
+    words.apply_published(&server(), Some(limit("3")), at(500));
 
-    assert!(words.heard(&server(), None, at(600), at(700)));
+    assert!(words.record_answer(&server(), None, at(600), at(700)));
 
-    assert_eq!(words.untold(), [(server(), None)]);
-    words.stored(&server(), None);
+    assert_eq!(words.unpublished(), [(server(), None)]);
+    words.mark_published(&server(), None);
     assert!(words.is_empty());
 }
 
@@ -126,21 +126,21 @@
 fn a_whole_table_ends_what_it_leaves_out_but_not_an_own_word() {
     let other: ServerIncarnation = "b@1".parse().unwrap();
     let mut words = with_own_word();
-    words.stored(&server(), Some(limit("2")));
-    words.told(&other, Some(limit("3")), at(1_100));
+    words.mark_published(&server(), Some(limit("2")));
+    words.apply_published(&other, Some(limit("3")), at(1_100));
 
-    let ended = words.keep_only(&[]);
+    let ended = words.retain_published(&[]);
 
     assert_eq!(ended, [other]);
-    assert_eq!(words.untold(), [(server(), Some(limit("2")))]);
+    assert_eq!(words.unpublished(), [(server(), Some(limit("2")))]);
 }
 
 #[test]
 fn servers_that_are_gone_are_forgotten_and_their_rows_named() {
     let mut words = with_own_word();
-    words.stored(&server(), Some(limit("2")));
+    words.mark_published(&server(), Some(limit("2")));
 
-    let rows = words.forget_gone(|_| false);
+    let rows = words.remove_unlisted(|_| false);
 
     assert_eq!(rows, [server()]);
     assert!(words.is_empty());
--- a/crates/core/tests/policy_admission.rs
+++ b/crates/core/tests/policy_admission.rs
@@ -8,7 +8,7 @@
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::id::{Incarnation, OrganisationId, RowVersion};
 use amaranthscale_core::process::{
-    Admission, AttainmentBook, CostBook, HedgePolicy, OrganisationLimits, RetryBudget,
+    Admission, AttainmentTracker, CostTracker, HedgePolicy, OrganisationLimits, RetryBudget,
     StageEstimate, sum_by_organisation,
 };
 use amaranthscale_core::unit::{Class, RatePerSecond, TimeBudget};
@@ -18,7 +18,7 @@
     name.parse().unwrap()
 }
 
-fn rows(book: &CostBook) -> Vec<Row> {
+fn rows(book: &CostTracker) -> Vec<Row> {
     let to_row = |write: RowWrite| Row {
         key: write.key,
         version: RowVersion::new(1),
@@ -190,10 +190,10 @@
         server_ms: 40,
         tokens: 7,
     };
-    let mut former = CostBook::new(host(), Incarnation::new(1));
+    let mut former = CostTracker::new(host(), Incarnation::new(1));
     former.record(&name, "rerank", &cost, true);
     former.record(&name, "generate/large", &cost, false);
-    let mut present = CostBook::new(host(), Incarnation::new(2));
+    let mut present = CostTracker::new(host(), Incarnation::new(2));
     present.record(&name, "rerank", &cost, true);
     let mut read = rows(&former);
     read.extend(rows(&former));
@@ -209,7 +209,7 @@
 /// Late, refused and failed answers all count against attainment, each under its own code.
 #[test]
 fn attainment_counts_every_answer() {
-    let mut book = AttainmentBook::default();
+    let mut book = AttainmentTracker::default();
     let (delta, cedar) = (organisation("delta-basin"), organisation("cedarline"));
     book.record(Class::Paid, &delta, ResultCode::Complete, true);
     book.record(Class::Paid, &delta, ResultCode::Complete, false);
--- a/crates/core/tests/policy_queue.rs
+++ b/crates/core/tests/policy_queue.rs
@@ -228,7 +228,7 @@
 fn an_old_measurement_does_not_shut_a_server() {
     let mut meter = LoadMeter::default();
     for _ in 0..10 {
-        meter.served(8_000, START);
+        meter.record_service(8_000, START);
     }
 
     let at_once = meter.expected_ms(SidecarClock::from_millis(10));
@@ -243,11 +243,11 @@
 #[test]
 fn cancelled_work_shows_slowness() {
     let mut meter = LoadMeter::default();
-    meter.served(800, START);
+    meter.record_service(800, START);
 
     for _ in 0..30 {
-        meter.cut_off(4_000, START);
-        meter.cut_off(100, START);
+        meter.record_cancelled(4_000, START);
+        meter.record_cancelled(100, START);
     }
 
     assert!(
--- a/crates/core/tests/policy_router.rs
+++ b/crates/core/tests/policy_router.rs
@@ -7,7 +7,7 @@
 
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::id::{HostId, Incarnation, ServiceId, TreeVersion, ZoneId};
-use amaranthscale_core::process::{AttemptEnd, Router, RouterSettings, ServerUse};
+use amaranthscale_core::process::{AttemptEnd, Router, RouterSettings, ServerAvailability};
 use amaranthscale_core::unit::{Class, SidecarClock};
 use amaranthscale_core::wire::{HostList, HostRecord, HostState, LoadReport, Stamp};
 
@@ -265,7 +265,7 @@
         router.started(&host(number), Duration::ZERO);
         router.ended(
             &host(number),
-            AttemptEnd::Silent,
+            AttemptEnd::TimedOut,
             Duration::ZERO,
             Duration::ZERO,
         );
@@ -424,7 +424,7 @@
         let chosen = router.choose(&service(), &[], Some(affinity), Duration::ZERO);
         assert_ne!(zone_of(&router, &chosen.unwrap()), one);
     }
-    assert_eq!(router.use_of(&host(0)), ServerUse::Evacuated);
+    assert_eq!(router.availability(&host(0)), ServerAvailability::Evacuated);
 
     router.set_evacuated(&all);
     let refused = router
@@ -434,5 +434,5 @@
 
     router.set_evacuated(&BTreeSet::new());
     assert!(router.choose(&service(), &[], None, Duration::ZERO).is_ok());
-    assert_eq!(router.use_of(&host(0)), ServerUse::Free);
+    assert_eq!(router.availability(&host(0)), ServerAvailability::Free);
 }
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -6,7 +6,7 @@
 
 use amaranthscale_core::id::{EvidenceId, RequestFingerprint, ServerIncarnation};
 use amaranthscale_core::process::{
-    CrashEvidence, LossStep, LostRuns, Quarantine, QuarantineChange, Verdict,
+    CrashEvidence, LossAction, LostRuns, Quarantine, QuarantineChange, QuarantineState,
 };
 
 const NOW: Duration = Duration::from_secs(100);
@@ -38,19 +38,22 @@
     for name in lost {
         evidence.add_crash(&server(number), request(name));
     }
-    quarantine.take(id(number), evidence, NOW)
+    quarantine.add_evidence(id(number), evidence, NOW)
 }
 
 fn is_held(quarantine: &Quarantine, name: &str) -> bool {
-    matches!(quarantine.verdict(request(name), LATER), Verdict::Held(_))
+    matches!(
+        quarantine.state(request(name), LATER),
+        QuarantineState::Quarantined(_)
+    )
 }
 
 #[test]
 fn a_request_is_held_back_after_three_servers_crashed_under_it() {
     let mut quarantine = quarantine(&[&["culprit"], &["culprit"]]);
     assert_eq!(
-        quarantine.verdict(request("culprit"), LATER),
-        Verdict::OneAtATime
+        quarantine.state(request("culprit"), LATER),
+        QuarantineState::SingleRun
     );
 
     let changes = crash(&mut quarantine, 2, &["culprit"]);
@@ -58,10 +61,13 @@
     let servers = vec![server(0), server(1), server(2)];
     assert_eq!(
         changes,
-        [QuarantineChange::Held(request("culprit"), servers)]
+        [QuarantineChange::Quarantined(request("culprit"), servers)]
     );
     assert!(is_held(&quarantine, "culprit"));
-    assert_eq!(quarantine.verdict(request("other"), LATER), Verdict::Clear);
+    assert_eq!(
+        quarantine.state(request("other"), LATER),
+        QuarantineState::Clear
+    );
 }
 
 #[test]
@@ -70,7 +76,7 @@
     for number in 0..3 {
         let mut evidence = CrashEvidence::default();
         evidence.add_crash(&server(7), request("a"));
-        quarantine.take(id(number), evidence, NOW);
+        quarantine.add_evidence(id(number), evidence, NOW);
     }
 
     assert!(!is_held(&quarantine, "a"));
@@ -133,17 +139,17 @@
 #[test]
 fn a_request_that_also_runs_to_its_end_is_not_to_blame() {
     let mut quarantine = quarantine(&[&["popular"], &["popular"], &["popular"]]);
-    assert!(quarantine.is_survival_told(request("popular")));
+    assert!(quarantine.publishes_survival(request("popular")));
 
     let evidence = CrashEvidence {
         crashes: Vec::new(),
         survivals: vec![request("popular"); 2],
     };
-    let changes = quarantine.take(id(9), evidence, NOW);
+    let changes = quarantine.add_evidence(id(9), evidence, NOW);
 
     assert_eq!(changes, [QuarantineChange::Released(request("popular"))]);
     assert!(!is_held(&quarantine, "popular"));
-    assert!(!quarantine.is_survival_told(request("popular")));
+    assert!(!quarantine.publishes_survival(request("popular")));
 }
 
 /// Guards against one run that only looks complete.
@@ -155,7 +161,7 @@
         survivals: vec![request("a")],
     };
 
-    quarantine.take(id(9), evidence, NOW);
+    quarantine.add_evidence(id(9), evidence, NOW);
 
     assert!(is_held(&quarantine, "a"));
 }
@@ -165,11 +171,11 @@
 fn a_request_is_held_back_only_some_time_after_its_last_crash() {
     let quarantine = quarantine(&[&["a"], &["a"], &["a"]]);
 
-    let at_once = quarantine.verdict(request("a"), NOW);
-    let soon = quarantine.verdict(request("a"), NOW + Duration::from_millis(500));
+    let at_once = quarantine.state(request("a"), NOW);
+    let soon = quarantine.state(request("a"), NOW + Duration::from_millis(500));
 
-    assert_eq!(at_once, Verdict::OneAtATime);
-    assert_eq!(soon, Verdict::Held(3));
+    assert_eq!(at_once, QuarantineState::SingleRun);
+    assert_eq!(soon, QuarantineState::Quarantined(3));
 }
 
 #[test]
@@ -189,9 +195,12 @@
     let take = |order: &mut dyn Iterator<Item = usize>| {
         let mut quarantine = Quarantine::default();
         for index in order {
-            quarantine.take(id(index), pieces[index].clone(), NOW);
+            quarantine.add_evidence(id(index), pieces[index].clone(), NOW);
         }
-        let held: Vec<_> = quarantine.held().map(|(request, _)| request).collect();
+        let held: Vec<_> = quarantine
+            .quarantined()
+            .map(|(request, _)| request)
+            .collect();
         held
     };
 
@@ -211,22 +220,25 @@
     let last = NOW + Duration::from_secs(601);
 
     let mut forgetful = quarantine.clone();
-    forgetful.take(id(8), CrashEvidence::default(), last);
-    quarantine.take(id(7), renewal, half);
-    quarantine.take(id(8), CrashEvidence::default(), last);
+    forgetful.add_evidence(id(8), CrashEvidence::default(), last);
+    quarantine.add_evidence(id(7), renewal, half);
+    quarantine.add_evidence(id(8), CrashEvidence::default(), last);
 
-    assert_eq!(forgetful.verdict(request("a"), last), Verdict::Clear);
-    assert_eq!(quarantine.verdict(request("a"), last), Verdict::Held(3));
+    assert_eq!(forgetful.state(request("a"), last), QuarantineState::Clear);
+    assert_eq!(
+        quarantine.state(request("a"), last),
+        QuarantineState::Quarantined(3)
+    );
 }
 
 #[test]
 fn evidence_that_is_removed_releases_a_request() {
     let mut quarantine = quarantine(&[&["a"], &["a"], &["a"]]);
 
-    let changes = quarantine.take_back(&id(1), NOW);
+    let changes = quarantine.remove_evidence(&id(1), NOW);
 
     assert_eq!(changes, [QuarantineChange::Released(request("a"))]);
-    assert_eq!(quarantine.keep_only(|_| false, NOW), []);
+    assert_eq!(quarantine.retain_evidence(|_| false, NOW), []);
     assert!(quarantine.is_empty());
 }
 
@@ -237,13 +249,16 @@
         let mut evidence = CrashEvidence::default();
         evidence.add_crash(&server(number), request(&format!("r{number}")));
         let now = NOW + Duration::from_millis(u64::try_from(number).unwrap());
-        quarantine.take(id(number), evidence, now);
+        quarantine.add_evidence(id(number), evidence, now);
     }
 
-    assert_eq!(quarantine.verdict(request("r0"), LATER), Verdict::Clear);
     assert_eq!(
-        quarantine.verdict(request("r29999"), LATER),
-        Verdict::Suspected
+        quarantine.state(request("r0"), LATER),
+        QuarantineState::Clear
+    );
+    assert_eq!(
+        quarantine.state(request("r29999"), LATER),
+        QuarantineState::Suspected
     );
 }
 
@@ -251,25 +266,40 @@
 fn a_server_is_looked_at_once_for_all_runs_that_it_lost() {
     let mut lost = LostRuns::default();
 
-    assert_eq!(lost.lost(&server(1), request("a"), NOW), LossStep::Probe);
-    assert_eq!(lost.lost(&server(1), request("b"), NOW), LossStep::Wait);
-    assert_eq!(lost.lost(&server(2), request("a"), NOW), LossStep::Probe);
+    assert_eq!(
+        lost.record_loss(&server(1), request("a"), NOW),
+        LossAction::Probe
+    );
+    assert_eq!(
+        lost.record_loss(&server(1), request("b"), NOW),
+        LossAction::Wait
+    );
+    assert_eq!(
+        lost.record_loss(&server(2), request("a"), NOW),
+        LossAction::Probe
+    );
 
-    let requests: Vec<_> = lost.crashed(&server(1)).into_iter().collect();
+    let requests: Vec<_> = lost.mark_crashed(&server(1)).into_iter().collect();
     assert_eq!(requests.len(), 2);
-    assert_eq!(lost.lost(&server(1), request("c"), NOW), LossStep::Report);
+    assert_eq!(
+        lost.record_loss(&server(1), request("c"), NOW),
+        LossAction::Report
+    );
 }
 
 /// Guards against a crash that nobody looks for, as the server had lost another run shortly before.
 #[test]
 fn a_server_that_was_found_listening_is_looked_at_again() {
     let mut lost = LostRuns::default();
-    lost.lost(&server(1), request("a"), NOW);
-    lost.not_crashed(&server(1));
+    lost.record_loss(&server(1), request("a"), NOW);
+    lost.mark_not_crashed(&server(1));
 
-    assert_eq!(lost.lost(&server(1), request("b"), NOW), LossStep::Probe);
+    assert_eq!(
+        lost.record_loss(&server(1), request("b"), NOW),
+        LossAction::Probe
+    );
 
-    let requests: Vec<_> = lost.crashed(&server(1)).into_iter().collect();
+    let requests: Vec<_> = lost.mark_crashed(&server(1)).into_iter().collect();
     assert_eq!(requests, [request("b")], "the first one outlived its run");
 }
 
@@ -277,23 +307,26 @@
 #[test]
 fn a_server_that_is_listed_no_more_is_to_blame_for_all_runs_that_it_lost() {
     let mut lost = LostRuns::default();
-    lost.lost(&server(1), request("a"), NOW);
-    lost.not_crashed(&server(1));
-    lost.lost(&server(1), request("b"), NOW);
+    lost.record_loss(&server(1), request("a"), NOW);
+    lost.mark_not_crashed(&server(1));
+    lost.record_loss(&server(1), request("b"), NOW);
 
-    assert_eq!(lost.gone(&server(1)).len(), 2);
-    assert_eq!(lost.lost(&server(1), request("c"), NOW), LossStep::Report);
+    assert_eq!(lost.mark_gone(&server(1)).len(), 2);
+    assert_eq!(
+        lost.record_loss(&server(1), request("c"), NOW),
+        LossAction::Report
+    );
 }
 
 /// A broken connection to a server that lives on says nothing of its request.
 #[test]
 fn runs_lost_at_a_server_that_stays_are_forgotten() {
     let mut lost = LostRuns::default();
-    lost.lost(&server(1), request("a"), NOW);
-    assert!(lost.missing(|_| true).is_empty());
-    assert_eq!(lost.missing(|_| false), [server(1)]);
+    lost.record_loss(&server(1), request("a"), NOW);
+    assert!(lost.unlisted(|_| true).is_empty());
+    assert_eq!(lost.unlisted(|_| false), [server(1)]);
 
-    lost.lost(&server(2), request("b"), NOW + Duration::from_secs(13));
+    lost.record_loss(&server(2), request("b"), NOW + Duration::from_secs(13));
 
-    assert!(lost.crashed(&server(1)).is_empty());
+    assert!(lost.mark_crashed(&server(1)).is_empty());
 }
--- a/crates/core/tests/send_share.rs
+++ b/crates/core/tests/send_share.rs
@@ -10,36 +10,36 @@
 use std::time::Duration;
 
 use amaranthscale_core::id::ServerIncarnation;
-use amaranthscale_core::process::{ColdBounds, ColdSpec, RecentSends, SendShare};
+use amaranthscale_core::process::{ColdAllowance, ColdSpec, RecentSends, SendShare};
 use entries::{Numbers, address, addresses, life};
 
 const SECOND: Duration = Duration::from_secs(1);
 
 fn share(
     server: usize,
-    most_per_s: f64,
+    max_per_s: f64,
     servers: usize,
     own: usize,
     all: &[SocketAddr],
 ) -> SendShare {
-    SendShare::of_entry(&life(server), most_per_s, servers, all[own], all)
+    SendShare::of_entry(&life(server), max_per_s, servers, all[own], all)
 }
 
 #[test]
 fn the_bound_is_the_servers_rate_and_what_operators_add() {
     let spec = ColdSpec {
-        start: 3 * SECOND,
+        cold_duration: 3 * SECOND,
         requests_per_s: 21.0,
     };
 
-    let usual = spec.under(ColdBounds::default());
-    let more = spec.under(ColdBounds {
-        over: 1.5,
+    let usual = spec.with_allowance(ColdAllowance::default());
+    let more = spec.with_allowance(ColdAllowance {
+        factor: 1.5,
         slack: 5.0,
     });
 
-    assert!((usual.most_per_s - 21.0).abs() < 1e-9);
-    assert!((more.most_per_s - 36.5).abs() < 1e-9);
+    assert!((usual.max_per_s - 21.0).abs() < 1e-9);
+    assert!((more.max_per_s - 36.5).abs() < 1e-9);
 }
 
 /// Deployments of every size share one bound: whatever the number of entries, the sum of what they
@@ -48,20 +48,20 @@
 fn the_shares_of_all_entries_keep_within_the_bound() {
     for entries in [1, 2, 3, 5, 26, 103, 380] {
         let all = addresses(entries);
-        for most_per_s in [0.3, 1.0, 2.0, 7.5, 36.5, 400.0] {
+        for max_per_s in [0.3, 1.0, 2.0, 7.5, 36.5, 400.0] {
             for server in 0..2 {
-                let shares = (0..entries).map(|own| share(server, most_per_s, 12, own, &all));
+                let shares = (0..entries).map(|own| share(server, max_per_s, 12, own, &all));
                 let shares: Vec<_> = shares.collect();
                 let most: usize = shares.iter().map(|share| share.sends()).sum();
 
-                let spans_s = shares.iter().map(|share| share.span().as_secs_f64());
-                assert!(most >= 1, "{entries} entries, {most_per_s} a second");
+                let spans_s = shares.iter().map(|share| share.window().as_secs_f64());
+                assert!(most >= 1, "{entries} entries, {max_per_s} a second");
                 // A share of less than one a second is one in a longer span.
                 let longest_s = spans_s.fold(1.0, f64::max);
                 let most = f64::from(u32::try_from(most).unwrap());
                 assert!(
-                    most <= (most_per_s * longest_s).max(1.0),
-                    "{entries} entries, {most_per_s} a second: {most} in {longest_s} s"
+                    most <= (max_per_s * longest_s).max(1.0),
+                    "{entries} entries, {max_per_s} a second: {most} in {longest_s} s"
                 );
             }
         }
@@ -134,11 +134,11 @@
     }
 
     /// Hears of so many entries.
-    fn hear(&mut self, server: &ServerIncarnation, most_per_s: f64, known: usize) {
+    fn hear(&mut self, server: &ServerIncarnation, max_per_s: f64, known: usize) {
         if self.known != known {
             let own = address(self.index);
             let all = addresses(known);
-            self.share = SendShare::of_entry(server, most_per_s, 12, own, &all);
+            self.share = SendShare::of_entry(server, max_per_s, 12, own, &all);
             self.known = known;
         }
     }
@@ -160,14 +160,14 @@
 
 /// One run: entries come and hear of each other late, freeze with full queues and start again, all
 /// with more requests for one cold server than it takes. Gives the most sends in any second.
-fn most_in_a_second(seed: u64, entries: usize, most_per_s: f64) -> usize {
+fn most_in_a_second(seed: u64, entries: usize, max_per_s: f64) -> usize {
     let mut numbers = Numbers(seed);
     let server = life(numbers.below(1_000));
     let mut now = 10 * SECOND;
     let begun = (0..entries).map(|index| Entry::new(index, now));
     let mut all: Vec<_> = begun.collect();
     for entry in &mut all {
-        entry.hear(&server, most_per_s, entries);
+        entry.hear(&server, max_per_s, entries);
     }
     let mut sent_at: VecDeque<Duration> = VecDeque::new();
     let mut most = 0;
@@ -177,7 +177,7 @@
             // It reads the list after its announcement; the others hear of it by and by.
             let index = all.len();
             all.push(Entry::new(index, now));
-            all[index].hear(&server, most_per_s, index + 1);
+            all[index].hear(&server, max_per_s, index + 1);
         }
         let count = all.len();
         let one = numbers.below(count);
@@ -185,9 +185,9 @@
             0..10 => all[one].frozen_until = now + Duration::from_millis(500),
             10 => {
                 all[one] = Entry::new(one, now);
-                all[one].hear(&server, most_per_s, count);
+                all[one].hear(&server, max_per_s, count);
             }
-            11..60 => all[one].hear(&server, most_per_s, count),
+            11..60 => all[one].hear(&server, max_per_s, count),
             _ => {}
         }
         for entry in &mut all {
@@ -210,13 +210,13 @@
 fn random_runs_keep_the_bound_whatever_entries_know() {
     for seed in 0..3 {
         for entries in [3, 26, 60] {
-            for most_per_s in [5.0, 36.5] {
-                let most = most_in_a_second(seed, entries, most_per_s);
+            for max_per_s in [5.0, 36.5] {
+                let most = most_in_a_second(seed, entries, max_per_s);
 
                 let most = f64::from(u32::try_from(most).unwrap());
                 assert!(
-                    most <= most_per_s,
-                    "seed {seed}, {entries} entries: {most} of {most_per_s}"
+                    most <= max_per_s,
+                    "seed {seed}, {entries} entries: {most} of {max_per_s}"
                 );
                 assert!(most >= 1.0);
             }
@@ -231,19 +231,19 @@
     let share = SendShare::of_owner(4.0);
     let (server, now) = (life(0), 10 * SECOND);
     let mut sends = RecentSends::default();
-    sends.chosen(&server, share, now);
-    assert!(sends.has_place(&server, share, now));
-    sends.chosen(&server, share, now);
+    sends.record_choice(&server, share, now);
+    assert!(sends.can_choose(&server, share, now));
+    sends.record_choice(&server, share, now);
 
-    assert!(!sends.has_place(&server, share, now));
-    assert!(sends.has_place(&server, share, now + SECOND));
-    assert!(sends.may_send(&server, share, now));
+    assert!(!sends.can_choose(&server, share, now));
+    assert!(sends.can_choose(&server, share, now + SECOND));
+    assert!(sends.can_send(&server, share, now));
     assert!(sends.try_send(&server, share, now));
     assert!(sends.try_send(&server, share, now));
-    assert!(!sends.may_send(&server, share, now));
+    assert!(!sends.can_send(&server, share, now));
 
     sends.retain(|_server| false);
-    assert!(sends.may_send(&server, share, now));
+    assert!(sends.can_send(&server, share, now));
 }
 
 /// A server becomes cold without a start. What it was sent in the second before it said so counts: it
@@ -254,7 +254,7 @@
     let (server, now) = (life(0), 10 * SECOND);
     let mut sends = RecentSends::default();
     for _ in 0..2 {
-        sends.sent(&server, now);
+        sends.record_send(&server, now);
     }
 
     assert!(sends.try_send(&server, share, now));
--- a/crates/core/tests/server_list.rs
+++ b/crates/core/tests/server_list.rs
@@ -6,15 +6,15 @@
 
 use amaranthscale_core::id::{RowVersion, ServiceId, ZoneId};
 use amaranthscale_core::process::{
-    ColdTerms, LAPSE_GRACE, ServerChange, ServerList, ServerRecord, ServerUse, ZoneChange,
-    ZoneState,
+    ColdLimits, EXPIRY_GRACE, ServerAvailability, ServerChange, ServerList, ServerRecord,
+    ZoneChange, ZoneState,
 };
 
 const SECOND: Duration = Duration::from_secs(1);
 
 fn record(id: &str) -> ServerRecord {
     ServerRecord {
-        life: id.parse().unwrap(),
+        incarnation: id.parse().unwrap(),
         service: "scale".parse().unwrap(),
         address: "127.0.0.1:9000".parse().unwrap(),
         zone: "north".parse().unwrap(),
@@ -27,7 +27,7 @@
 fn list_of(ids: &[&str]) -> ServerList {
     let mut servers = ServerList::default();
     for id in ids {
-        servers.take(ServerChange::Listed(record(id)), Duration::ZERO);
+        servers.apply_change(ServerChange::Listed(record(id)), Duration::ZERO);
     }
     servers
 }
@@ -36,7 +36,7 @@
     let service: ServiceId = "scale".parse().unwrap();
     let ids = servers
         .usable(&service)
-        .map(|server| server.life.to_string());
+        .map(|server| server.incarnation.to_string());
     ids.collect()
 }
 
@@ -48,7 +48,7 @@
         ..record("a")
     };
 
-    let is_changed = servers.take(ServerChange::Listed(leaving), SECOND);
+    let is_changed = servers.apply_change(ServerChange::Listed(leaving), SECOND);
 
     assert!(is_changed);
     assert_eq!(usable(&servers), ["b"]);
@@ -58,7 +58,7 @@
 fn an_entry_that_is_written_again_unchanged_changes_nothing() {
     let mut servers = list_of(&["a"]);
 
-    let is_changed = servers.take(ServerChange::Listed(record("a")), SECOND);
+    let is_changed = servers.apply_change(ServerChange::Listed(record("a")), SECOND);
 
     assert!(!is_changed);
 }
@@ -67,7 +67,7 @@
 fn a_removed_server_is_gone_at_once_while_the_store_answers() {
     let mut servers = list_of(&["a", "b"]);
 
-    servers.take(ServerChange::Gone("a".parse().unwrap()), SECOND);
+    servers.apply_change(ServerChange::Removed("a".parse().unwrap()), SECOND);
 
     assert_eq!(usable(&servers), ["b"]);
 }
@@ -81,12 +81,12 @@
     servers.store_lost();
     servers.store_answered(10 * SECOND);
 
-    servers.take_all(Vec::new(), 10 * SECOND);
+    servers.replace_all(Vec::new(), 10 * SECOND);
 
     assert_eq!(usable(&servers), ["a", "b"]);
-    assert!(servers.drop_lapsed(11 * SECOND).is_empty());
-    servers.take(ServerChange::Listed(record("b")), 11 * SECOND);
-    let dropped = servers.drop_lapsed(10 * SECOND + LAPSE_GRACE);
+    assert!(servers.drop_expired(11 * SECOND).is_empty());
+    servers.apply_change(ServerChange::Listed(record("b")), 11 * SECOND);
+    let dropped = servers.drop_expired(10 * SECOND + EXPIRY_GRACE);
     assert_eq!(dropped, ["a".parse().unwrap()]);
     assert_eq!(usable(&servers), ["b"]);
 }
@@ -100,10 +100,10 @@
     servers.store_answered(10 * SECOND);
 
     let late = 10 * SECOND + Duration::from_millis(1_900);
-    servers.take(ServerChange::Gone("a".parse().unwrap()), late);
+    servers.apply_change(ServerChange::Removed("a".parse().unwrap()), late);
 
-    assert_eq!(servers.lapsed_until(), Some(10 * SECOND + LAPSE_GRACE));
-    assert_eq!(servers.drop_lapsed(10 * SECOND + LAPSE_GRACE).len(), 1);
+    assert_eq!(servers.expired_until(), Some(10 * SECOND + EXPIRY_GRACE));
+    assert_eq!(servers.drop_expired(10 * SECOND + EXPIRY_GRACE).len(), 1);
     assert!(usable(&servers).is_empty());
 }
 
@@ -113,7 +113,7 @@
     servers.store_lost();
     servers.store_answered(10 * SECOND);
 
-    servers.take(ServerChange::Gone("a".parse().unwrap()), 13 * SECOND);
+    servers.apply_change(ServerChange::Removed("a".parse().unwrap()), 13 * SECOND);
 
     assert!(usable(&servers).is_empty());
 }
@@ -123,10 +123,10 @@
     let mut servers = list_of(&["a"]);
     servers.store_lost();
     servers.store_answered(10 * SECOND);
-    servers.take_all(Vec::new(), 10 * SECOND);
+    servers.replace_all(Vec::new(), 10 * SECOND);
     servers.store_lost();
 
-    let dropped = servers.drop_lapsed(60 * SECOND);
+    let dropped = servers.drop_expired(60 * SECOND);
 
     assert!(dropped.is_empty());
     assert_eq!(usable(&servers), ["a"]);
@@ -139,7 +139,7 @@
     let mut servers = list_of(&["a@1000", "b@1000"]);
     let before = "a@1000".parse().unwrap();
 
-    let is_changed = servers.take(ServerChange::Listed(record("a@2000")), SECOND);
+    let is_changed = servers.apply_change(ServerChange::Listed(record("a@2000")), SECOND);
 
     assert!(is_changed);
     assert!(!servers.is_usable(&before));
@@ -152,7 +152,7 @@
 fn a_life_with_an_older_start_may_be_the_newer_one() {
     let mut servers = list_of(&["a@2000"]);
 
-    servers.take(ServerChange::Listed(record("a@1000")), SECOND);
+    servers.apply_change(ServerChange::Listed(record("a@1000")), SECOND);
 
     assert_eq!(usable(&servers), ["a@1000"]);
 }
@@ -164,13 +164,13 @@
     let mut servers = list_of(&["a@1000"]);
     servers.store_lost();
     servers.store_answered(10 * SECOND);
-    servers.take_all(Vec::new(), 10 * SECOND);
+    servers.replace_all(Vec::new(), 10 * SECOND);
     assert_eq!(usable(&servers), ["a@1000"]);
 
-    servers.take(ServerChange::Listed(record("a@2000")), 11 * SECOND);
+    servers.apply_change(ServerChange::Listed(record("a@2000")), 11 * SECOND);
 
     assert_eq!(usable(&servers), ["a@2000"]);
-    assert!(servers.drop_lapsed(20 * SECOND).is_empty());
+    assert!(servers.drop_expired(20 * SECOND).is_empty());
 }
 
 /// Another program overwrites a server's entry with bytes of its own. Whatever stands there now, it
@@ -181,7 +181,8 @@
     servers.store_lost();
     servers.store_answered(10 * SECOND);
 
-    let is_changed = servers.take(ServerChange::Unreadable("a".parse().unwrap()), 10 * SECOND);
+    let is_changed =
+        servers.apply_change(ServerChange::Unreadable("a".parse().unwrap()), 10 * SECOND);
 
     assert!(is_changed);
     assert_eq!(usable(&servers), ["b"]);
@@ -197,7 +198,7 @@
         ServerChange::Listed(record("c")),
     ];
 
-    servers.take_all(entries, SECOND);
+    servers.replace_all(entries, SECOND);
 
     assert_eq!(usable(&servers), ["b", "c"]);
 }
@@ -214,9 +215,9 @@
     assert_eq!(usable(&untold), ["a", "b", "c@1000"]);
 }
 
-const TERMS: ColdTerms = ColdTerms {
-    start: Duration::from_secs(3),
-    most_per_s: 36.5,
+const TERMS: ColdLimits = ColdLimits {
+    cold_duration: Duration::from_secs(3),
+    max_per_s: 36.5,
 };
 
 fn zone(name: &str) -> ZoneId {
@@ -237,14 +238,14 @@
     }
 }
 
-fn use_of(servers: &ServerList, id: &str, now: Duration) -> ServerUse {
-    servers.use_of(&id.parse().unwrap(), Some(TERMS), now)
+fn use_of(servers: &ServerList, id: &str, now: Duration) -> ServerAvailability {
+    servers.availability(&id.parse().unwrap(), Some(TERMS), now)
 }
 
-fn cold(until: Duration) -> ServerUse {
-    ServerUse::Cold {
+fn cold(until: Duration) -> ServerAvailability {
+    ServerAvailability::Cold {
         until,
-        most_per_s: TERMS.most_per_s,
+        max_per_s: TERMS.max_per_s,
     }
 }
 
@@ -254,24 +255,27 @@
 fn an_evacuated_zone_is_out_of_use_and_comes_back_cold() {
     let mut servers = list_of(&["a"]);
 
-    let changed = servers.take_zones(vec![evacuated("north", 7)], false, SECOND);
-    servers.take(ServerChange::Listed(record("b")), SECOND);
+    let changed = servers.apply_zones(vec![evacuated("north", 7)], false, SECOND);
+    servers.apply_change(ServerChange::Listed(record("b")), SECOND);
 
     let state = ZoneState::Evacuated(RowVersion::new(7));
     assert_eq!(changed, [(zone("north"), state)]);
     assert!(usable(&servers).is_empty());
-    assert_eq!(use_of(&servers, "a", SECOND), ServerUse::Evacuated);
-    assert_eq!(use_of(&servers, "b", SECOND), ServerUse::Evacuated);
+    assert_eq!(use_of(&servers, "a", SECOND), ServerAvailability::Evacuated);
+    assert_eq!(use_of(&servers, "b", SECOND), ServerAvailability::Evacuated);
     let service: ServiceId = "scale".parse().unwrap();
-    assert_eq!(servers.staying(&service).count(), 2);
+    assert_eq!(servers.not_leaving(&service).count(), 2);
 
-    servers.take_zones(vec![taken_back("north")], false, 5 * SECOND);
+    servers.apply_zones(vec![taken_back("north")], false, 5 * SECOND);
 
     assert_eq!(use_of(&servers, "a", 5 * SECOND), cold(8 * SECOND));
-    assert_eq!(use_of(&servers, "a", 8 * SECOND), ServerUse::Free);
+    assert_eq!(use_of(&servers, "a", 8 * SECOND), ServerAvailability::Free);
     // A service whose servers are never cold is used at once.
     let life = "a".parse().unwrap();
-    assert_eq!(servers.use_of(&life, None, 5 * SECOND), ServerUse::Free);
+    assert_eq!(
+        servers.availability(&life, None, 5 * SECOND),
+        ServerAvailability::Free
+    );
 }
 
 /// An evacuation is written, removed and written again while the store's history is forgotten: what
@@ -279,21 +283,24 @@
 #[test]
 fn a_whole_table_says_which_zones_are_evacuated() {
     let mut servers = list_of(&["a"]);
-    servers.take_zones(
+    servers.apply_zones(
         vec![evacuated("north", 7), evacuated("south", 8)],
         false,
         SECOND,
     );
 
-    let changed = servers.take_zones(vec![evacuated("north", 9)], true, 2 * SECOND);
+    let changed = servers.apply_zones(vec![evacuated("north", 9)], true, 2 * SECOND);
 
     assert_eq!(changed, [(zone("south"), ZoneState::InUse)]);
-    let left: Vec<_> = servers.evacuated().collect();
+    let left: Vec<_> = servers.evacuated_zones().collect();
     assert_eq!(left, [(&zone("north"), RowVersion::new(9))]);
-    servers.take_zones(Vec::new(), true, 3 * SECOND);
-    assert_eq!(servers.evacuated().count(), 0);
-    servers.take_zones(vec![evacuated("north", 12)], false, 4 * SECOND);
-    assert_eq!(use_of(&servers, "a", 4 * SECOND), ServerUse::Evacuated);
+    servers.apply_zones(Vec::new(), true, 3 * SECOND);
+    assert_eq!(servers.evacuated_zones().count(), 0);
+    servers.apply_zones(vec![evacuated("north", 12)], false, 4 * SECOND);
+    assert_eq!(
+        use_of(&servers, "a", 4 * SECOND),
+        ServerAvailability::Evacuated
+    );
 }
 
 /// Something else is written where the evacuation of a zone stood. Nobody said that the zone was
@@ -306,25 +313,28 @@
     };
     let mut servers = list_of(&["a"]);
 
-    let changed = servers.take_zones(vec![unreadable("north")], false, SECOND);
+    let changed = servers.apply_zones(vec![unreadable("north")], false, SECOND);
     assert!(changed.is_empty());
-    assert_eq!(use_of(&servers, "a", SECOND), ServerUse::Free);
+    assert_eq!(use_of(&servers, "a", SECOND), ServerAvailability::Free);
 
-    servers.take_zones(vec![evacuated("north", 7)], false, SECOND);
-    servers.take_zones(vec![unreadable("north")], true, SECOND);
+    servers.apply_zones(vec![evacuated("north", 7)], false, SECOND);
+    servers.apply_zones(vec![unreadable("north")], true, SECOND);
 
-    assert_eq!(use_of(&servers, "a", SECOND), ServerUse::Evacuated);
+    assert_eq!(use_of(&servers, "a", SECOND), ServerAvailability::Evacuated);
 }
 
 #[test]
 fn a_zone_that_is_evacuated_again_at_once_is_out_of_use() {
     let mut servers = list_of(&["a"]);
-    servers.take_zones(vec![evacuated("north", 7)], false, SECOND);
-    servers.take_zones(vec![taken_back("north")], false, 2 * SECOND);
+    servers.apply_zones(vec![evacuated("north", 7)], false, SECOND);
+    servers.apply_zones(vec![taken_back("north")], false, 2 * SECOND);
 
-    servers.take_zones(vec![evacuated("north", 9)], false, 2 * SECOND);
+    servers.apply_zones(vec![evacuated("north", 9)], false, 2 * SECOND);
 
-    assert_eq!(use_of(&servers, "a", 2 * SECOND), ServerUse::Evacuated);
+    assert_eq!(
+        use_of(&servers, "a", 2 * SECOND),
+        ServerAvailability::Evacuated
+    );
 }
 
 /// A server has just started and says for how long it is cold; its next entry says how much is left.
@@ -338,18 +348,18 @@
     };
     let mut servers = ServerList::default();
 
-    servers.take(told(3_000), SECOND);
+    servers.apply_change(told(3_000), SECOND);
     assert_eq!(use_of(&servers, "a", SECOND), cold(4 * SECOND));
-    servers.take(told(500), 2 * SECOND);
+    servers.apply_change(told(500), 2 * SECOND);
     assert_eq!(
         use_of(&servers, "a", 2 * SECOND),
         cold(Duration::from_millis(2_500))
     );
 
     // It may become cold again at any moment, and be warm earlier than it said.
-    servers.take(told(0), 3 * SECOND);
-    assert_eq!(use_of(&servers, "a", 3 * SECOND), ServerUse::Free);
-    servers.take(told(2_000), 9 * SECOND);
+    servers.apply_change(told(0), 3 * SECOND);
+    assert_eq!(use_of(&servers, "a", 3 * SECOND), ServerAvailability::Free);
+    servers.apply_change(told(2_000), 9 * SECOND);
     assert_eq!(use_of(&servers, "a", 9 * SECOND), cold(11 * SECOND));
 }
 
@@ -358,13 +368,13 @@
 fn a_server_that_came_untold_is_taken_for_cold() {
     let listed = |id| ServerChange::Listed(record(id));
     let mut servers = ServerList::default();
-    servers.take_all(vec![listed("a")], SECOND);
+    servers.replace_all(vec![listed("a")], SECOND);
 
-    servers.take(listed("b"), 2 * SECOND);
+    servers.apply_change(listed("b"), 2 * SECOND);
 
-    assert_eq!(use_of(&servers, "a", 2 * SECOND), ServerUse::Free);
+    assert_eq!(use_of(&servers, "a", 2 * SECOND), ServerAvailability::Free);
     assert_eq!(use_of(&servers, "b", 2 * SECOND), cold(5 * SECOND));
-    assert_eq!(use_of(&servers, "b", 5 * SECOND), ServerUse::Free);
+    assert_eq!(use_of(&servers, "b", 5 * SECOND), ServerAvailability::Free);
 }
 
 #[test]
@@ -374,9 +384,9 @@
         is_leaving: true,
         ..record("a")
     };
-    servers.take(ServerChange::Listed(leaving), SECOND);
+    servers.apply_change(ServerChange::Listed(leaving), SECOND);
 
-    assert_eq!(use_of(&servers, "a", SECOND), ServerUse::Leaving);
-    assert_eq!(use_of(&servers, "b", SECOND), ServerUse::Unlisted);
+    assert_eq!(use_of(&servers, "a", SECOND), ServerAvailability::Leaving);
+    assert_eq!(use_of(&servers, "b", SECOND), ServerAvailability::Unlisted);
     assert!(!use_of(&servers, "a", SECOND).is_usable());
 }
--- a/crates/core/tests/shared_budget.rs
+++ b/crates/core/tests/shared_budget.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use amaranthscale_core::process::{BudgetTerms, SharedBudget};
+use amaranthscale_core::process::{RetryBudgetSettings, SharedRetryBudget};
 use quickcheck::quickcheck;
 
-const TERMS: BudgetTerms = BudgetTerms {
+const TERMS: RetryBudgetSettings = RetryBudgetSettings {
     ratio: 0.2,
     slack: 56.0,
     window: Duration::from_secs(10),
@@ -15,16 +15,16 @@
     Duration::from_millis(ms)
 }
 
-fn taken(budget: &mut SharedBudget, live: usize, now: Duration) -> usize {
-    (0..1_000).filter(|_| budget.try_repeat(live, now)).count()
+fn taken(budget: &mut SharedRetryBudget, live: usize, now: Duration) -> usize {
+    (0..1_000).filter(|_| budget.try_retry(live, now)).count()
 }
 
 #[test]
 fn a_share_of_the_requests_may_be_repeated() {
-    let mut quiet = SharedBudget::new(TERMS);
-    let mut busy = SharedBudget::new(TERMS);
+    let mut quiet = SharedRetryBudget::new(TERMS);
+    let mut busy = SharedRetryBudget::new(TERMS);
     for _ in 0..100 {
-        busy.request(ms(1_000));
+        busy.record_request(ms(1_000));
     }
 
     let (quiet, busy) = (
@@ -37,7 +37,7 @@
 
 #[test]
 fn repeats_come_back_when_their_window_is_over() {
-    let mut budget = SharedBudget::new(TERMS);
+    let mut budget = SharedRetryBudget::new(TERMS);
     let first = taken(&mut budget, 1, ms(1_000));
 
     assert_eq!(taken(&mut budget, 1, ms(9_000)), 0);
@@ -49,14 +49,14 @@
 #[test]
 fn all_entries_together_stay_within_the_bound() {
     let entries = 5;
-    let mut budgets = vec![SharedBudget::new(TERMS); entries];
+    let mut budgets = vec![SharedRetryBudget::new(TERMS); entries];
     let mut sent_at = Vec::new();
 
     for step in 0..600 {
         let now = ms(step * 50);
         for budget in &mut budgets {
-            budget.request(now);
-            if budget.try_repeat(entries, now) {
+            budget.record_request(now);
+            if budget.try_retry(entries, now) {
                 sent_at.push(now);
             }
         }
@@ -75,16 +75,16 @@
 
 quickcheck! {
     fn a_single_entry_never_exceeds_the_bound(steps: Vec<(u8, bool)>) -> bool {
-        let mut budget = SharedBudget::new(TERMS);
+        let mut budget = SharedRetryBudget::new(TERMS);
         let mut now = Duration::ZERO;
         let mut requests = Vec::new();
         let mut repeats = Vec::new();
         steps.into_iter().all(|(pause_ms, is_request)| {
             now += ms(u64::from(pause_ms) * 4);
             if is_request {
-                budget.request(now);
+                budget.record_request(now);
                 requests.push(now);
-            } else if budget.try_repeat(1, now) {
+            } else if budget.try_retry(1, now) {
                 repeats.push(now);
             }
             let within = |at: &&Duration| now.saturating_sub(**at) < TERMS.window;
--- a/crates/core/tests/spec_limits.rs
+++ b/crates/core/tests/spec_limits.rs
@@ -13,7 +13,9 @@
 use std::time::Duration;
 
 use amaranthscale_core::id::ServerIncarnation;
-use amaranthscale_core::process::{LimitWords, RecentSends, SendBound, SendShare, ServerLimit};
+use amaranthscale_core::process::{
+    RecentSends, ReportedLimits, SendRateLimit, SendShare, ServerLimit,
+};
 
 const ENTRIES: usize = 2;
 const DEPTH: usize = 18;
@@ -59,7 +61,7 @@
 
 #[derive(Clone)]
 struct Entry {
-    words: LimitWords,
+    words: ReportedLimits,
     sends: RecentSends,
 }
 
@@ -82,8 +84,8 @@
     let all = (0..ENTRIES).map(|index| format!("10.0.0.{}:7740", index + 1).parse().unwrap());
     let all: Vec<SocketAddr> = all.collect();
     let limit: ServerLimit = PER_S.parse().unwrap();
-    let bound = SendBound::Limited {
-        most_per_s: limit.per_s(),
+    let bound = SendRateLimit::Limited {
+        max_per_s: limit.per_s(),
     };
     bound.share_of_entry(&life(), SERVERS, all[own], &all)
 }
@@ -94,10 +96,10 @@
         let named = Some(PER_S.parse().unwrap());
         let now = Duration::from_secs(10);
         let mut entry = Entry {
-            words: LimitWords::default(),
+            words: ReportedLimits::default(),
             sends: RecentSends::default(),
         };
-        entry.words.heard(&life(), named, now, now);
+        entry.words.record_answer(&life(), named, now, now);
         Self {
             guards,
             now: now + STEP,
@@ -119,12 +121,12 @@
                     self.now
                 };
                 let words = &mut self.entries[one].words;
-                words.heard(&life(), None, sent_at, self.now);
+                words.record_answer(&life(), None, sent_at, self.now);
             }
             Event::Tell(one) => self.tell(one),
             Event::Hear(one) => {
                 let words = &mut self.entries[one].words;
-                words.told(&life(), self.stored, self.now);
+                words.apply_published(&life(), self.stored, self.now);
             }
             Event::Pass => self.now += STEP,
         }
@@ -133,12 +135,12 @@
 
     fn tell(&mut self, one: usize) {
         let words = &mut self.entries[one].words;
-        for (server, limit) in words.untold() {
+        for (server, limit) in words.unpublished() {
             if limit.is_none() && !self.guards.ends_are_told {
                 continue;
             }
             self.stored = limit;
-            words.stored(&server, limit);
+            words.mark_published(&server, limit);
         }
     }
 
@@ -151,7 +153,7 @@
                 let may_send = if self.guards.counts_sends {
                     entry.sends.try_send(&life(), share, self.now)
                 } else {
-                    entry.sends.may_send(&life(), share, self.now)
+                    entry.sends.can_send(&life(), share, self.now)
                 };
                 if !may_send {
                     break;
@@ -164,7 +166,7 @@
         }
         if sent > 0 {
             let words = &mut self.entries[one].words;
-            words.heard(&life(), self.named, self.now, self.now);
+            words.record_answer(&life(), self.named, self.now, self.now);
         }
         let recent = self.sent_at.iter().filter(|at| **at + SPAN > self.now);
         let recent = recent.count();
@@ -187,7 +189,7 @@
                 calm.tell(one);
             }
             for entry in &mut calm.entries {
-                entry.words.told(&life(), calm.stored, calm.now);
+                entry.words.apply_published(&life(), calm.stored, calm.now);
             }
         }
         let is_bound = |entry: &Entry| entry.words.limit(&life()).is_some();
@@ -200,9 +202,9 @@
     /// What later events depend on.
     fn key(&self) -> String {
         let entries = self.entries.iter().enumerate().map(|(one, entry)| {
-            let next = entry.sends.next_place(&life(), share(one), self.now);
+            let next = entry.sends.next_choice_at(&life(), share(one), self.now);
             let next = next.map(|at| at.saturating_sub(self.now));
-            (entry.words.limit(&life()), entry.words.untold(), next)
+            (entry.words.limit(&life()), entry.words.unpublished(), next)
         });
         let entries: Vec<_> = entries.collect();
         let recent = self.sent_at.iter();
--- a/crates/core/tests/spec_quarantine.rs
+++ b/crates/core/tests/spec_quarantine.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use amaranthscale_core::id::{EvidenceId, RequestFingerprint};
-use amaranthscale_core::process::{CrashEvidence, Quarantine, Verdict};
+use amaranthscale_core::process::{CrashEvidence, Quarantine, QuarantineState};
 
 const GATEWAYS: usize = 3;
 /// Servers that one try of a caller may reach.
@@ -134,9 +134,9 @@
         }
         let mut world = self.moved("takes it", index);
         world.tries += 1;
-        match gateway.quarantine.verdict(culprit(), self.now()) {
-            Verdict::Held(_) => {}
-            Verdict::OneAtATime if guards.runs_one_at_a_time => {
+        match gateway.quarantine.state(culprit(), self.now()) {
+            QuarantineState::Quarantined(_) => {}
+            QuarantineState::SingleRun if guards.runs_one_at_a_time => {
                 if !self.store.contains_key(&claim_id()) {
                     let mut claim = CrashEvidence::default();
                     claim.add_crash(&format!("single-g{index}").parse().unwrap(), culprit());
@@ -145,7 +145,7 @@
                     world.gateways[index].has_claim = true;
                 }
             }
-            Verdict::OneAtATime | Verdict::Suspected | Verdict::Clear => {
+            QuarantineState::SingleRun | QuarantineState::Suspected | QuarantineState::Clear => {
                 world.gateways[index].reached = Some(0);
             }
         }
@@ -156,11 +156,13 @@
     fn reach(&self, index: usize, guards: Guards) -> Option<Self> {
         let gateway = &self.gateways[index];
         let reached = gateway.reached?;
-        let verdict = gateway.quarantine.verdict(culprit(), self.now());
+        let verdict = gateway.quarantine.state(culprit(), self.now());
         let is_last = match verdict {
-            Verdict::Held(_) => true,
-            Verdict::OneAtATime => guards.runs_one_at_a_time && (reached > 0 || !gateway.has_claim),
-            Verdict::Suspected | Verdict::Clear => false,
+            QuarantineState::Quarantined(_) => true,
+            QuarantineState::SingleRun => {
+                guards.runs_one_at_a_time && (reached > 0 || !gateway.has_claim)
+            }
+            QuarantineState::Suspected | QuarantineState::Clear => false,
         };
         if reached >= MOST_OF_TRY || is_last {
             return None;
@@ -174,7 +176,9 @@
         let now = self.now();
         let gateway = &mut world.gateways[index];
         gateway.reached = Some(reached + 1);
-        gateway.quarantine.take(id.clone(), evidence.clone(), now);
+        gateway
+            .quarantine
+            .add_evidence(id.clone(), evidence.clone(), now);
         gateway.known.insert(id.clone());
         gateway.untold.insert(id, evidence);
         Some(world)
@@ -220,11 +224,13 @@
         for (id, evidence) in &self.store {
             let is_own_claim = *id == claim_id() && gateway.has_claim;
             if !is_own_claim && gateway.known.insert(id.clone()) {
-                gateway.quarantine.take(id.clone(), evidence.clone(), now);
+                gateway
+                    .quarantine
+                    .add_evidence(id.clone(), evidence.clone(), now);
             }
         }
         if !self.store.contains_key(&claim_id()) && gateway.known.remove(&claim_id()) {
-            gateway.quarantine.take_back(&claim_id(), now);
+            gateway.quarantine.remove_evidence(&claim_id(), now);
         }
     }
 
--- a/crates/core/tests/spec_withheld.rs
+++ b/crates/core/tests/spec_withheld.rs
@@ -15,7 +15,7 @@
 
 use amaranthscale_core::id::{RowVersion, ServerIncarnation};
 use amaranthscale_core::process::{
-    ColdTerms, RecentSends, SendShare, ServerChange, ServerList, ServerRecord, ServerUse,
+    ColdLimits, RecentSends, SendShare, ServerAvailability, ServerChange, ServerList, ServerRecord,
     ZoneChange, ZoneState,
 };
 
@@ -23,9 +23,9 @@
 /// Steps of one order of events.
 const DEPTH: usize = 9;
 const STEP: Duration = Duration::from_millis(250);
-const TERMS: ColdTerms = ColdTerms {
-    start: Duration::from_millis(750),
-    most_per_s: 4.0,
+const TERMS: ColdLimits = ColdLimits {
+    cold_duration: Duration::from_millis(750),
+    max_per_s: 4.0,
 };
 
 /// Guards that hold; each test switches one off.
@@ -91,7 +91,7 @@
 
 fn record() -> ServerRecord {
     ServerRecord {
-        life: life(),
+        incarnation: life(),
         service: "scale".parse().unwrap(),
         address: "127.0.0.1:9000".parse().unwrap(),
         zone: "north".parse().unwrap(),
@@ -105,13 +105,13 @@
     let all: Vec<SocketAddr> = (0..ENTRIES)
         .map(|index| format!("10.0.0.{}:7740", index + 1).parse().unwrap())
         .collect();
-    SendShare::of_entry(&life(), TERMS.most_per_s, 1, all[own], &all)
+    SendShare::of_entry(&life(), TERMS.max_per_s, 1, all[own], &all)
 }
 
 impl World {
     fn new(guards: Guards) -> Self {
         let mut list = ServerList::default();
-        list.take_all(vec![ServerChange::Listed(record())], Duration::ZERO);
+        list.replace_all(vec![ServerChange::Listed(record())], Duration::ZERO);
         let entry = Entry {
             list,
             sends: RecentSends::default(),
@@ -130,9 +130,9 @@
         }
     }
 
-    fn use_of(&self, entry: &Entry) -> ServerUse {
+    fn use_of(&self, entry: &Entry) -> ServerAvailability {
         let terms = self.guards.takes_returned_zones_for_cold.then_some(TERMS);
-        entry.list.use_of(&life(), terms, self.now)
+        entry.list.availability(&life(), terms, self.now)
     }
 
     fn may_happen(&self, event: Event) -> bool {
@@ -158,7 +158,7 @@
             Event::TakeBack => {
                 self.is_evacuated = false;
                 self.version += 1;
-                self.cold_until = self.now + 2 * TERMS.start;
+                self.cold_until = self.now + 2 * TERMS.cold_duration;
                 for entry in &mut self.entries {
                     entry.is_blind = !entry.has_heard;
                 }
@@ -187,7 +187,7 @@
         let is_whole = is_whole && self.guards.takes_back_what_a_whole_table_leaves_out;
         let changes = is_named.then_some(change).into_iter().collect();
         let entry = &mut self.entries[one];
-        entry.list.take_zones(changes, is_whole, self.now);
+        entry.list.apply_zones(changes, is_whole, self.now);
         entry.has_heard = self.is_evacuated;
         entry.is_blind &= is_whole;
     }
@@ -199,7 +199,7 @@
             return Ok(());
         }
         let entry = &mut self.entries[one];
-        if matches!(server_use, ServerUse::Cold { .. })
+        if matches!(server_use, ServerAvailability::Cold { .. })
             && self.guards.counts_sends
             && !entry.sends.try_send(&life(), share(one), self.now)
         {
@@ -218,7 +218,7 @@
         let second = Duration::from_secs(1);
         let recent = self.sent_at.iter().filter(|at| **at + second > self.now);
         let recent = u32::try_from(recent.count()).unwrap();
-        if f64::from(recent) > TERMS.most_per_s {
+        if f64::from(recent) > TERMS.max_per_s {
             return Err(format!(
                 "{recent} requests within a second at a cold server"
             ));
@@ -233,7 +233,7 @@
             calm.tell(one, true);
         }
         calm.now += Duration::from_secs(5);
-        let is_used = |entry: &Entry| calm.use_of(entry) == ServerUse::Free;
+        let is_used = |entry: &Entry| calm.use_of(entry) == ServerAvailability::Free;
         if !calm.is_evacuated && !calm.entries.iter().all(is_used) {
             return Err("a zone that was taken back is not used".to_owned());
         }
@@ -243,7 +243,7 @@
     /// What later events depend on.
     fn key(&self) -> String {
         let lists = self.entries.iter().map(|entry| {
-            let share_left = entry.sends.may_send(&life(), share(0), self.now);
+            let share_left = entry.sends.can_send(&life(), share(0), self.now);
             let state = (
                 self.use_of(entry),
                 entry.chosen,
--- a/crates/standins/src/policy/bench/entry_side.rs
+++ b/crates/standins/src/policy/bench/entry_side.rs
@@ -98,7 +98,7 @@
             Condition::Up | Condition::Dead => {
                 self.agenda.after(KEEP_ALIVE, Event::KeepAlive { attempt });
             }
-            Condition::Frozen | Condition::Gone => self.end_attempt(attempt, AttemptEnd::Silent),
+            Condition::Frozen | Condition::Gone => self.end_attempt(attempt, AttemptEnd::TimedOut),
         }
     }
 
@@ -235,7 +235,7 @@
             AttemptEnd::Complete => self.stage_done(attempt),
             AttemptEnd::Refused(code) => self.retry(attempt, code),
             AttemptEnd::Failed => self.retry(attempt, ResultCode::BackendUnreachable),
-            AttemptEnd::Silent => self.retry(attempt, ResultCode::NoBackendServer),
+            AttemptEnd::TimedOut => self.retry(attempt, ResultCode::NoBackendServer),
             AttemptEnd::Cancelled => {}
         }
     }
--- a/crates/standins/src/policy/bench/sidecar_side.rs
+++ b/crates/standins/src/policy/bench/sidecar_side.rs
@@ -47,7 +47,7 @@
         if self.deployment.services[service].is_engine {
             fake.queue.release(id);
             fake.meter
-                .cut_off(millis(now.saturating_sub(started_at)), clock(now));
+                .record_cancelled(millis(now.saturating_sub(started_at)), clock(now));
             self.attempts[attempt].stopped_at = Some(now);
             self.pump(server);
         }
@@ -67,7 +67,7 @@
         }
         let started_at = self.attempts[attempt].started_at.unwrap_or(now);
         fake.meter
-            .served(millis(now.saturating_sub(started_at)), clock(now));
+            .record_service(millis(now.saturating_sub(started_at)), clock(now));
         fake.queue.release(self.attempts[attempt].id);
         self.attempts[attempt].stopped_at = Some(now);
         self.send(attempt, AttemptEnd::Complete);
@@ -165,7 +165,7 @@
         let class = self.deployment.organisations[request.organisation].class;
         let fake = &mut self.servers[server];
         fake.meter
-            .waited(class, millis(now.saturating_sub(started.queued_at)));
+            .record_wait(class, millis(now.saturating_sub(started.queued_at)));
         let life = fake.life;
         self.agenda.after(work, Event::Served { attempt, life });
     }
