--- a/crates/amaranthscale/src/bin/amaranth-entry.rs
+++ b/crates/amaranthscale/src/bin/amaranth-entry.rs
@@ -7,8 +7,8 @@
 use amaranthscale::entry::{Entry, EntryConfig};
 use amaranthscale::process::settings::EntrySettings;
 use amaranthscale::process::{
-    StopSignal, announce, announce_peers, daemon_command, listen_override, read_settings,
-    start_logging,
+    StopSignal, daemon_command, listen_override, print_listen_address, print_peer_address,
+    read_settings, start_logging,
 };
 use log::{error, warn};
 use mimalloc::MiMalloc;
@@ -46,8 +46,8 @@
     let mut stop = StopSignal::listen()?;
     let bound = config.max_deadline + DRAIN_MARGIN;
     let entry = Entry::start(config).await?;
-    announce(entry.address())?;
-    announce_peers(entry.peer_address())?;
+    print_listen_address(entry.address())?;
+    print_peer_address(entry.peer_address())?;
     stop.next().await;
     let is_drained = tokio::select! {
         is_drained = entry.stop(bound) => is_drained,
--- a/crates/amaranthscale/src/bin/amaranth-sidecar.rs
+++ b/crates/amaranthscale/src/bin/amaranth-sidecar.rs
@@ -5,10 +5,10 @@
 
 use amaranthscale::process::settings::SidecarSettings;
 use amaranthscale::process::{
-    StopSignal, announce, daemon_command, listen_override, read_settings, start_logging,
+    StopSignal, daemon_command, listen_override, print_listen_address, read_settings, start_logging,
 };
 use amaranthscale::sidecar::{KeptSidecar, SidecarConfig};
-use amaranthscale::version::TreeKeeperSettings;
+use amaranthscale::version::TreeSyncSettings;
 use log::{error, warn};
 use mimalloc::MiMalloc;
 
@@ -28,7 +28,7 @@
     if let Some(listen) = listen_override(&matches) {
         config.listen = listen;
     }
-    match run(config, TreeKeeperSettings::from(&settings.tree)) {
+    match run(config, TreeSyncSettings::from(&settings.tree)) {
         Ok(exit_code) => exit_code,
         Err(error) => {
             error!("sidecar: {error}");
@@ -38,10 +38,10 @@
 }
 
 #[tokio::main]
-async fn run(config: SidecarConfig, tree: TreeKeeperSettings) -> Result<ExitCode, Box<dyn Error>> {
+async fn run(config: SidecarConfig, tree: TreeSyncSettings) -> Result<ExitCode, Box<dyn Error>> {
     let mut stop = StopSignal::listen()?;
     let mut sidecar = KeptSidecar::start(config, tree).await?;
-    announce(sidecar.sidecar().address())?;
+    print_listen_address(sidecar.sidecar().address())?;
     tokio::select! {
         () = stop.next() => {}
         () = sidecar.failed() => return Err("the gate has ended".into()),
--- a/crates/amaranthscale/src/connection.rs
+++ b/crates/amaranthscale/src/connection.rs
@@ -9,7 +9,9 @@
 mod port_probe;
 
 #[doc(inline)]
-pub use body::{ReadBodyError, ResponseBody, empty_body, full_body, read_arriving_body, read_body};
+pub use body::{
+    ReadBodyError, ResponseBody, empty_body, full_body, read_body, read_body_with_idle_timeout,
+};
 #[doc(inline)]
 pub use frame_reader::{FrameError, FrameReader, encode_frame};
 #[doc(inline)]
--- a/crates/amaranthscale/src/connection/body.rs
+++ b/crates/amaranthscale/src/connection/body.rs
@@ -23,7 +23,7 @@
             display("the body has more than {max_bytes} bytes")
         }
         /// The sender stopped sending.
-        Slow(waited: Duration, received_bytes: usize) {
+        TimedOut(waited: Duration, received_bytes: usize) {
             display(
                 "the body did not arrive within {} ms: {received_bytes} bytes came",
                 waited.as_millis()
@@ -68,7 +68,7 @@
     };
     match tokio::time::timeout(patience, whole).await {
         Ok(read) => read.map(|()| received.whole()),
-        Err(_elapsed) => Err(ReadBodyError::Slow(patience, received.bytes())),
+        Err(_elapsed) => Err(ReadBodyError::TimedOut(patience, received.bytes())),
     }
 }
 
@@ -76,7 +76,7 @@
 ///
 /// For bodies whose size has no small bound: a time for the whole of it would cut off what a slow link
 /// still carries, and what begins it anew would be cut off again.
-pub async fn read_arriving_body<B>(
+pub async fn read_body_with_idle_timeout<B>(
     body: B,
     max_bytes: usize,
     silence: Duration,
@@ -90,7 +90,7 @@
     let mut received = Received::default();
     loop {
         let part = tokio::time::timeout(silence, next_part(&mut body, max_bytes)).await;
-        match part.map_err(|_elapsed| ReadBodyError::Slow(silence, received.bytes()))?? {
+        match part.map_err(|_elapsed| ReadBodyError::TimedOut(silence, received.bytes()))?? {
             Some(part) => received.parts.push(part),
             None => return Ok(received.whole()),
         }
--- a/crates/amaranthscale/src/connection/peer_client.rs
+++ b/crates/amaranthscale/src/connection/peer_client.rs
@@ -36,7 +36,7 @@
             display("the connection to {address} was lost: {reason}")
         }
         /// The connection fell silent after the request may have been seen.
-        Silent(address: SocketAddr) {
+        TimedOut(address: SocketAddr) {
             display("the connection to {address} fell silent")
         }
     }
@@ -46,7 +46,7 @@
     /// Whether the peer may have seen the request.
     #[must_use]
     pub const fn may_have_arrived(&self) -> bool {
-        matches!(self, Self::Lost(..) | Self::Silent(..))
+        matches!(self, Self::Lost(..) | Self::TimedOut(..))
     }
 }
 
@@ -60,14 +60,14 @@
     /// Longest wait for a connection.
     pub connect_timeout: Duration,
     /// Longest silence of a connection with open streams; one ping is sent and missed in it.
-    pub silence: Duration,
+    pub dead_peer_timeout: Duration,
 }
 
 impl Default for PeerClientLimits {
     fn default() -> Self {
         Self {
             connect_timeout: Duration::from_secs(1),
-            silence: Duration::from_secs(1),
+            dead_peer_timeout: Duration::from_secs(1),
         }
     }
 }
@@ -102,7 +102,7 @@
         self.sender.send_request(request).await.map_err(|error| {
             debug!("peer: request to {} was lost: {error}", self.address);
             if error.is_timeout() {
-                PeerError::Silent(self.address)
+                PeerError::TimedOut(self.address)
             } else {
                 PeerError::Lost(self.address, error.to_string())
             }
@@ -140,16 +140,16 @@
 
     /// Counts requests by their kind.
     #[must_use]
-    pub fn counted_by(mut self, traffic: ControlTraffic) -> Self {
+    pub fn with_traffic(mut self, traffic: ControlTraffic) -> Self {
         self.traffic = traffic;
         self
     }
 
     /// Counts one request and its answer's body; callers know both, connections do not.
     pub fn count(&self, kind: ControlKind, sent_bytes: usize, received_bytes: usize) {
-        self.traffic.message(kind);
-        self.traffic.sent(kind, sent_bytes);
-        self.traffic.received(kind, received_bytes);
+        self.traffic.count_message(kind);
+        self.traffic.count_sent(kind, sent_bytes);
+        self.traffic.count_received(kind, received_bytes);
     }
 
     /// The connection to a peer, opened if there is none.
@@ -261,7 +261,7 @@
     /// their deadlines. A missed ping ends the connection and with it every open stream, so that
     /// each request asks about its attempt on a new connection.
     fn builder(&self) -> Builder<TokioExecutor> {
-        let half = self.limits.silence / 2;
+        let half = self.limits.dead_peer_timeout / 2;
         let mut builder = Builder::new(TokioExecutor::new());
         builder
             .timer(TokioTimer::new())
--- a/crates/amaranthscale/src/connection/port_probe.rs
+++ b/crates/amaranthscale/src/connection/port_probe.rs
@@ -10,20 +10,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PortState {
     /// A process listens.
-    Listens,
+    Open,
     /// The host is there, and no process listens.
-    Refuses,
+    Closed,
     /// Nothing answers: the host may be down or cut off.
-    Silent,
+    Unreachable,
 }
 
 impl PortState {
     /// Name in counters.
     pub(crate) const fn name(self) -> &'static str {
         match self {
-            Self::Listens => "listens",
-            Self::Refuses => "refuses",
-            Self::Silent => "silent",
+            Self::Open => "listens",
+            Self::Closed => "refuses",
+            Self::Unreachable => "silent",
         }
     }
 }
@@ -31,9 +31,9 @@
 /// Opens a connection and closes it at once.
 pub(crate) async fn probe_port(address: SocketAddr, patience: Duration) -> PortState {
     match tokio::time::timeout(patience, TcpStream::connect(address)).await {
-        Ok(Ok(_stream)) => PortState::Listens,
-        Ok(Err(error)) if is_refusal(error.kind()) => PortState::Refuses,
-        Ok(Err(_)) | Err(_) => PortState::Silent,
+        Ok(Ok(_stream)) => PortState::Open,
+        Ok(Err(error)) if is_refusal(error.kind()) => PortState::Closed,
+        Ok(Err(_)) | Err(_) => PortState::Unreachable,
     }
 }
 
--- a/crates/amaranthscale/src/entry/connection/caller_http.rs
+++ b/crates/amaranthscale/src/entry/connection/caller_http.rs
@@ -22,7 +22,7 @@
 use crate::entry::request::{
     Answer, AnswerEnvelope, CallerHead, CallerRequest, DeadlineLimits, Run, TokenText,
 };
-use crate::version::TreeKeeperHandle;
+use crate::version::TreeSyncHandle;
 
 /// Events that may wait for a slow reader before the run waits with them.
 const EVENT_BUFFER: usize = 64;
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone)]
 pub struct CallerHttp {
     parts: EntryParts,
-    tree: TreeKeeperHandle,
+    tree: TreeSyncHandle,
     host: HostId,
     limits: CallerLimits,
     open: Arc<AtomicUsize>,
@@ -65,7 +65,7 @@
     #[must_use]
     pub fn new(
         parts: EntryParts,
-        tree: TreeKeeperHandle,
+        tree: TreeSyncHandle,
         host: HostId,
         limits: CallerLimits,
     ) -> Self {
@@ -221,7 +221,7 @@
 const fn read_code(error: &ReadBodyError) -> ResultCode {
     match error {
         ReadBodyError::TooLarge(_) => ResultCode::BodyTooLarge,
-        ReadBodyError::Slow(..) => ResultCode::SlowCaller,
+        ReadBodyError::TimedOut(..) => ResultCode::SlowCaller,
         ReadBodyError::Broken(_) => ResultCode::MalformedRequest,
     }
 }
--- a/crates/amaranthscale/src/entry/connection/operator_http.rs
+++ b/crates/amaranthscale/src/entry/connection/operator_http.rs
@@ -16,7 +16,7 @@
 use super::reply::{json_response, shown, status};
 use crate::connection::{ResponseBody, read_body};
 use crate::entry::process::{DecisionsStatus, EntryParts};
-use crate::version::{EditProposal, EditResult, PlannerStatus, TreeKeeperHandle, TreeStatus};
+use crate::version::{EditProposal, EditResult, PlannerStatus, TreeStatus, TreeSyncHandle};
 
 /// Longest edit: an import of a whole tree.
 const MAX_EDIT_BYTES: usize = 16 * 1024 * 1024;
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone)]
 pub struct OperatorHttp {
     parts: EntryParts,
-    tree: TreeKeeperHandle,
+    tree: TreeSyncHandle,
     callers: CallerHttp,
     host: HostId,
     key: Option<KeyHash>,
@@ -72,7 +72,7 @@
     #[must_use]
     pub const fn new(
         parts: EntryParts,
-        tree: TreeKeeperHandle,
+        tree: TreeSyncHandle,
         callers: CallerHttp,
         host: HostId,
         key: Option<KeyHash>,
--- a/crates/amaranthscale/src/entry/connection/peer_http.rs
+++ b/crates/amaranthscale/src/entry/connection/peer_http.rs
@@ -9,7 +9,7 @@
 
 use crate::connection::{ResponseBody, empty_body, full_body, read_body};
 use crate::process::{ControlKind, ControlTraffic};
-use crate::version::TreeKeeperHandle;
+use crate::version::TreeSyncHandle;
 
 /// Longest message of a peer: a whole tree with some room to grow.
 const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
@@ -19,14 +19,14 @@
 /// Answers peers.
 #[derive(Debug, Clone)]
 pub struct PeerHttp {
-    tree: TreeKeeperHandle,
+    tree: TreeSyncHandle,
     traffic: ControlTraffic,
 }
 
 impl PeerHttp {
     /// Answers peers of a process that keeps a tree.
     #[must_use]
-    pub const fn new(tree: TreeKeeperHandle, traffic: ControlTraffic) -> Self {
+    pub const fn new(tree: TreeSyncHandle, traffic: ControlTraffic) -> Self {
         Self { tree, traffic }
     }
 
@@ -46,7 +46,7 @@
             return of_status(StatusCode::BAD_REQUEST);
         };
         let reply = wire::encode(&self.tree.since(since.version));
-        self.traffic.sent(kind, reply.len());
+        self.traffic.count_sent(kind, reply.len());
         Response::new(full_body(reply))
     }
 
@@ -55,7 +55,7 @@
         let Some(offer) = self.message::<TreeReply>(kind, request).await else {
             return of_status(StatusCode::BAD_REQUEST);
         };
-        self.tree.offered(offer);
+        self.tree.apply_offer(offer);
         of_status(StatusCode::OK)
     }
 
@@ -68,8 +68,8 @@
         let body = read_body(request.into_body(), MAX_MESSAGE_BYTES, PATIENCE)
             .await
             .ok()?;
-        self.traffic.message(kind);
-        self.traffic.received(kind, body.len());
+        self.traffic.count_message(kind);
+        self.traffic.count_received(kind, body.len());
         wire::decode(body).ok()
     }
 }
--- a/crates/amaranthscale/src/entry/daemon.rs
+++ b/crates/amaranthscale/src/entry/daemon.rs
@@ -22,7 +22,7 @@
 use crate::connection::{HttpServer, HttpServerLimits, PeerClient, PeerClientLimits, ResponseBody};
 use crate::process::{ControlKind, ControlTraffic, Counters, PlatformClient, PlatformClientLimits};
 use crate::version::{
-    PlannerArguments, PlannerHandle, TreeKeeperArguments, TreeKeeperHandle, WriteGate,
+    PlannerArguments, PlannerHandle, TreeSyncArguments, TreeSyncHandle, WriteGate,
 };
 
 /// Longest wait for peers' open questions when the entry stops; they ask others.
@@ -36,7 +36,7 @@
 pub struct Entry {
     callers: HttpServer,
     peers: HttpServer,
-    tree: TreeKeeperHandle,
+    tree: TreeSyncHandle,
     planner: PlannerHandle,
     decisions: ActorRef<Decision>,
     host_watch: JoinHandle<()>,
@@ -47,7 +47,7 @@
     /// Starts an entry; it answers at once, and is ready when it has a settings tree.
     pub async fn start(config: EntryConfig) -> Result<Self, StartError> {
         let counters = Arc::new(match config.statsd {
-            Some(address) => Counters::sent_to("amaranth.entry", address)?,
+            Some(address) => Counters::with_statsd("amaranth.entry", address)?,
             None => Counters::local("amaranth.entry"),
         });
         let links = Links::new(&config, &counters);
@@ -59,7 +59,7 @@
         let parts = EntryParts {
             decisions: DecisionsHandle::new(decisions.clone()),
             peers: Arc::clone(&links.peers),
-            platform: links.platform.of(ControlKind::Claim),
+            platform: links.platform.with_kind(ControlKind::Claim),
             counters,
             tree: tree.in_force(),
             planner: planner.clone(),
@@ -67,7 +67,7 @@
         let (callers, peers) = serve(&config, &parts, &tree).await?;
         let zone_watch = tokio::spawn(watch_zones(tree.in_force(), parts.decisions.clone()));
         let watching = watch_hosts(
-            links.platform.of(ControlKind::HostList),
+            links.platform.with_kind(ControlKind::HostList),
             parts.decisions,
             config.host,
             config.host_poll,
@@ -106,7 +106,7 @@
 
     /// The settings tree of this entry.
     #[must_use]
-    pub const fn tree(&self) -> &TreeKeeperHandle {
+    pub const fn tree(&self) -> &TreeSyncHandle {
         &self.tree
     }
 
@@ -143,13 +143,13 @@
     fn new(config: &EntryConfig, counters: &Arc<Counters>) -> Self {
         let traffic = ControlTraffic::new(Arc::clone(counters));
         let limits = PeerClientLimits {
-            silence: config.silence,
+            dead_peer_timeout: config.silence,
             ..PeerClientLimits::default()
         };
         Self {
             platform: PlatformClient::new(config.platform, PlatformClientLimits::default())
-                .counted_by(traffic.clone()),
-            peers: Arc::new(PeerClient::new(limits).counted_by(traffic)),
+                .with_traffic(traffic.clone()),
+            peers: Arc::new(PeerClient::new(limits).with_traffic(traffic)),
         }
     }
 }
@@ -159,17 +159,17 @@
     links: &Links,
     counters: &Arc<Counters>,
     peer_addresses: watch::Receiver<Vec<SocketAddr>>,
-) -> Result<TreeKeeperHandle, StartError> {
-    let arguments = TreeKeeperArguments {
+) -> Result<TreeSyncHandle, StartError> {
+    let arguments = TreeSyncArguments {
         host: config.host.clone(),
         settings: config.tree,
-        platform: links.platform.of(ControlKind::TreePoll),
+        platform: links.platform.with_kind(ControlKind::TreePoll),
         peers: Arc::clone(&links.peers),
         peer_addresses,
         counters: Arc::clone(counters),
         seed: config.seed,
     };
-    Ok(TreeKeeperHandle::start(arguments).await?)
+    Ok(TreeSyncHandle::start(arguments).await?)
 }
 
 async fn start_decisions(config: &EntryConfig) -> Result<ActorRef<Decision>, StartError> {
@@ -188,13 +188,13 @@
     config: &EntryConfig,
     links: &Links,
     counters: &Arc<Counters>,
-    tree: &TreeKeeperHandle,
+    tree: &TreeSyncHandle,
     hosts: watch::Receiver<Option<Arc<HostList>>>,
 ) -> Result<PlannerHandle, StartError> {
     let arguments = PlannerArguments {
         host: config.host.clone(),
         settings: config.planner,
-        platform: links.platform.of(ControlKind::Placement),
+        platform: links.platform.with_kind(ControlKind::Placement),
         peers: Arc::clone(&links.peers),
         tree: tree.in_force(),
         is_tree_ready: tree.readiness(),
@@ -209,7 +209,7 @@
 async fn serve(
     config: &EntryConfig,
     parts: &EntryParts,
-    tree: &TreeKeeperHandle,
+    tree: &TreeSyncHandle,
 ) -> Result<(HttpServer, HttpServer), StartError> {
     let limits = HttpServerLimits {
         max_header_bytes: config.max_header_bytes,
@@ -234,7 +234,7 @@
 fn front(
     config: &EntryConfig,
     parts: &EntryParts,
-    tree: &TreeKeeperHandle,
+    tree: &TreeSyncHandle,
 ) -> impl Fn(Request<Incoming>) -> Answering + Clone + Send + Sync + 'static + use<> {
     let limits = CallerLimits {
         max_body_bytes: config.max_body_bytes,
--- a/crates/amaranthscale/src/entry/entry_config.rs
+++ b/crates/amaranthscale/src/entry/entry_config.rs
@@ -7,7 +7,7 @@
 use amaranthscale_core::version::KeyHash;
 
 use crate::process::settings::EntrySettings;
-use crate::version::{PlannerSettings, TreeKeeperSettings};
+use crate::version::{PlannerSettings, TreeSyncSettings};
 
 /// What an entry is started with.
 #[derive(Debug, Clone)]
@@ -41,7 +41,7 @@
     /// Hedges allowed for each hundred first tries.
     pub hedge_percent: u32,
     /// How often to look for a newer tree.
-    pub tree: TreeKeeperSettings,
+    pub tree: TreeSyncSettings,
     /// How this entry competes for planning the placement.
     pub planner: PlannerSettings,
     /// How often to read the host list.
@@ -72,7 +72,7 @@
             max_deadline: Duration::from_mins(1),
             retry_percent: 10,
             hedge_percent: 1,
-            tree: TreeKeeperSettings::default(),
+            tree: TreeSyncSettings::default(),
             planner: PlannerSettings::default(),
             host_poll: Duration::from_secs(1),
             silence: Duration::from_secs(1),
@@ -96,7 +96,7 @@
             max_deadline: Duration::from_millis(settings.limits.max_deadline_ms),
             retry_percent: settings.retry.retry_percent,
             hedge_percent: settings.retry.hedge_percent,
-            tree: TreeKeeperSettings::from(&settings.tree),
+            tree: TreeSyncSettings::from(&settings.tree),
             silence: Duration::from_millis(settings.silence_ms),
             ..Self::new(host, settings.zone.clone(), settings.platform)
         }
--- a/crates/amaranthscale/src/gateway/daemon.rs
+++ b/crates/amaranthscale/src/gateway/daemon.rs
@@ -34,7 +34,7 @@
 /// Bounds of connections to other gateways: a request waits for the next owner meanwhile.
 const PEER_LIMITS: PeerClientLimits = PeerClientLimits {
     connect_timeout: Duration::from_millis(400),
-    silence: Duration::from_secs(1),
+    dead_peer_timeout: Duration::from_secs(1),
 };
 /// Part of the bound on configurations for which a routing that is known to be replaced is still decided by, in
 /// hundredths: the rest is for the way of the word that there is a newer one.
--- a/crates/amaranthscale/src/gateway/process/crash_watch.rs
+++ b/crates/amaranthscale/src/gateway/process/crash_watch.rs
@@ -216,7 +216,7 @@
         tokio::time::sleep(LOOK_AFTER).await;
         let port = probe_port(address, LOOK_PATIENCE).await;
         self.counters.count_reason("servers.looked-at", port.name());
-        if port == PortState::Refuses {
+        if port == PortState::Closed {
             let requests = self.state().lost.mark_crashed(&server);
             self.crashed(&server, "refuses connections", requests);
         } else {
--- a/crates/amaranthscale/src/gateway/process/peer_pieces.rs
+++ b/crates/amaranthscale/src/gateway/process/peer_pieces.rs
@@ -71,7 +71,7 @@
         .map_err(|error| match error {
             PeerError::NotSent(..) => AskError::NotReached(error.to_string()),
             PeerError::Lost(..) => AskError::Lost(error.to_string()),
-            PeerError::Silent(..) => AskError::Silent,
+            PeerError::TimedOut(..) => AskError::Silent,
         })?;
     if response.status() != StatusCode::OK {
         return Err(AskError::OtherLife);
--- a/crates/amaranthscale/src/gateway/request/caller.rs
+++ b/crates/amaranthscale/src/gateway/request/caller.rs
@@ -264,7 +264,7 @@
     read_body(body, max_bytes, patience).await.map_err(|error| {
         let code = match error {
             ReadBodyError::TooLarge(_) => ResultCode::BodyTooLarge,
-            ReadBodyError::Slow(..) => ResultCode::SlowCaller,
+            ReadBodyError::TimedOut(..) => ResultCode::SlowCaller,
             ReadBodyError::Broken(_) => ResultCode::MalformedRequest,
         };
         Refused::new(code).closing()
--- a/crates/amaranthscale/src/gateway/request/send.rs
+++ b/crates/amaranthscale/src/gateway/request/send.rs
@@ -83,7 +83,7 @@
     pub(super) fn read_failed(self, error: &ReadBodyError, admitted: &Admitted) {
         match error {
             ReadBodyError::Broken(_) => self.cut_off(admitted),
-            ReadBodyError::TooLarge(_) | ReadBodyError::Slow(..) => self.end(SendEnd::Failed),
+            ReadBodyError::TooLarge(_) | ReadBodyError::TimedOut(..) => self.end(SendEnd::Failed),
         }
     }
 
--- a/crates/amaranthscale/src/gateway/version/feed.rs
+++ b/crates/amaranthscale/src/gateway/version/feed.rs
@@ -21,7 +21,7 @@
 use super::knowledge::SLOW_ANSWER;
 use super::neighbour::Neighbour;
 use super::{FeedPace, HandedRows, Neighbours, RowsQuestion};
-use crate::connection::{Http1Connection, read_arriving_body};
+use crate::connection::{Http1Connection, read_body_with_idle_timeout};
 
 /// Longest wait for the answer to a call that does not wait for changes, and for more of an answer that
 /// has begun to come.
@@ -333,7 +333,7 @@
     begun(usize::try_from(told_bytes).unwrap_or(usize::MAX));
     let status = response.status();
     let answered = Instant::now();
-    let body = read_arriving_body(response.into_body(), MAX_ANSWER_BYTES, CALL_PATIENCE)
+    let body = read_body_with_idle_timeout(response.into_body(), MAX_ANSWER_BYTES, CALL_PATIENCE)
         .await
         .map_err(|error| error.to_string())?;
     let transfer = answered.elapsed();
--- a/crates/amaranthscale/src/gateway/version/neighbour.rs
+++ b/crates/amaranthscale/src/gateway/version/neighbour.rs
@@ -15,7 +15,7 @@
 use super::super::clock::ms;
 use super::packed_row::MAX_CONTENT_BYTES;
 use super::{HandedAnswer, HandedOn, HandedRows, Knowledge, RowsQuestion};
-use crate::connection::{PeerClient, read_arriving_body};
+use crate::connection::{PeerClient, read_body_with_idle_timeout};
 use crate::process::Counters;
 
 /// Start of the path of a question for rows; the neighbour's name follows.
@@ -142,7 +142,7 @@
         if answer.status() != StatusCode::OK {
             return Err(format!("it answered {}", answer.status()));
         }
-        let body = read_arriving_body(answer.into_body(), MOST_ANSWER_BYTES, WAY).await;
+        let body = read_body_with_idle_timeout(answer.into_body(), MOST_ANSWER_BYTES, WAY).await;
         let body = body.map_err(|error| error.to_string())?;
         let answer: HandedAnswer =
             rmp_serde::from_slice(&body).map_err(|error| error.to_string())?;
--- a/crates/amaranthscale/src/process.rs
+++ b/crates/amaranthscale/src/process.rs
@@ -26,7 +26,8 @@
 pub use counters::{Counters, CountersError};
 #[doc(inline)]
 pub use daemon_command::{
-    announce, announce_peers, daemon_command, listen_override, read_settings, start_logging,
+    daemon_command, listen_override, print_listen_address, print_peer_address, read_settings,
+    start_logging,
 };
 #[doc(inline)]
 pub use host_poll::poll_hosts;
--- a/crates/amaranthscale/src/process/control_traffic.rs
+++ b/crates/amaranthscale/src/process/control_traffic.rs
@@ -22,17 +22,17 @@
     }
 
     /// Counts one request that this process sent or answered.
-    pub fn message(&self, kind: ControlKind) {
+    pub fn count_message(&self, kind: ControlKind) {
         self.add(kind.counter_names().messages, 1);
     }
 
     /// Counts bytes that this process sent.
-    pub fn sent(&self, kind: ControlKind, length_bytes: usize) {
+    pub fn count_sent(&self, kind: ControlKind, length_bytes: usize) {
         self.add(kind.counter_names().bytes_out, length_bytes);
     }
 
     /// Counts bytes that this process received.
-    pub fn received(&self, kind: ControlKind, length_bytes: usize) {
+    pub fn count_received(&self, kind: ControlKind, length_bytes: usize) {
         self.add(kind.counter_names().bytes_in, length_bytes);
     }
 
--- a/crates/amaranthscale/src/process/counters.rs
+++ b/crates/amaranthscale/src/process/counters.rs
@@ -41,7 +41,7 @@
     }
 
     /// Counters that are sent to a statsd address as well.
-    pub fn sent_to(prefix: impl AsRef<str>, statsd: SocketAddr) -> Result<Self, CountersError> {
+    pub fn with_statsd(prefix: impl AsRef<str>, statsd: SocketAddr) -> Result<Self, CountersError> {
         let socket = UdpSocket::bind("0.0.0.0:0")?;
         socket.set_nonblocking(true)?;
         let sink = QueuingMetricSink::from(UdpMetricSink::from(statsd, socket)?);
--- a/crates/amaranthscale/src/process/daemon_command.rs
+++ b/crates/amaranthscale/src/process/daemon_command.rs
@@ -87,12 +87,12 @@
 }
 
 /// Tells whoever started the daemon where it listens, as one line on standard output.
-pub fn announce(address: SocketAddr) -> io::Result<()> {
+pub fn print_listen_address(address: SocketAddr) -> io::Result<()> {
     print_line(format_args!("listening {address}"))
 }
 
 /// Tells at which address the system's other processes reach the daemon, as a second line.
-pub fn announce_peers(address: SocketAddr) -> io::Result<()> {
+pub fn print_peer_address(address: SocketAddr) -> io::Result<()> {
     print_line(format_args!("peers {address}"))
 }
 
--- a/crates/amaranthscale/src/process/platform_client.rs
+++ b/crates/amaranthscale/src/process/platform_client.rs
@@ -14,7 +14,7 @@
 use serde::de::DeserializeOwned;
 
 use super::{ControlKind, ControlTraffic};
-use crate::connection::read_arriving_body;
+use crate::connection::read_body_with_idle_timeout;
 
 /// Largest answer that the platform gives: a page of rows or one object.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
@@ -89,14 +89,14 @@
 
     /// Counts calls by their kind.
     #[must_use]
-    pub fn counted_by(mut self, traffic: ControlTraffic) -> Self {
+    pub fn with_traffic(mut self, traffic: ControlTraffic) -> Self {
         self.traffic = traffic;
         self
     }
 
     /// The same client, whose calls are counted as of a kind; connections are shared.
     #[must_use]
-    pub fn of(&self, kind: ControlKind) -> Self {
+    pub fn with_kind(&self, kind: ControlKind) -> Self {
         Self {
             kind,
             ..self.clone()
@@ -198,8 +198,8 @@
     ) -> Result<(StatusCode, Bytes), PlatformError> {
         let body = body.into();
         let upload = upload_time(body.len());
-        self.traffic.message(self.kind);
-        self.traffic.sent(self.kind, path.len() + body.len());
+        self.traffic.count_message(self.kind);
+        self.traffic.count_sent(self.kind, path.len() + body.len());
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{}{path}", self.address))
@@ -211,9 +211,9 @@
         let response = response.map_err(|_elapsed| lost("no answer in time"))?;
         let response = response.map_err(lost)?;
         let status = response.status();
-        let body = read_arriving_body(response.into_body(), MAX_ANSWER_BYTES, patience);
+        let body = read_body_with_idle_timeout(response.into_body(), MAX_ANSWER_BYTES, patience);
         let body = body.await.map_err(lost)?;
-        self.traffic.received(self.kind, body.len());
+        self.traffic.count_received(self.kind, body.len());
         Ok((status, body))
     }
 }
--- a/crates/amaranthscale/src/sidecar.rs
+++ b/crates/amaranthscale/src/sidecar.rs
@@ -97,7 +97,7 @@
         counters: Arc<Counters>,
     ) -> Result<Self, SidecarError> {
         let listen = config.listen;
-        let cost_platform = platform(&config, &counters).of(ControlKind::CostWrite);
+        let cost_platform = platform(&config, &counters).with_kind(ControlKind::CostWrite);
         let runner = Arc::new(runner(&config, tree, counters));
         let (gate, gate_task) = Actor::spawn(None, Gate, Arc::clone(&runner)).await?;
         let routes = Arc::new(Routes {
@@ -187,7 +187,7 @@
 
 fn counters(config: &SidecarConfig) -> Result<Arc<Counters>, SidecarError> {
     Ok(Arc::new(match config.statsd {
-        Some(address) => Counters::sent_to("sidecar", address)?,
+        Some(address) => Counters::with_statsd("sidecar", address)?,
         None => Counters::local("sidecar"),
     }))
 }
@@ -197,7 +197,7 @@
     let claims = Claims::new(
         config.host.clone(),
         incarnation,
-        platform(config, &counters).of(ControlKind::Claim),
+        platform(config, &counters).with_kind(ControlKind::Claim),
         Arc::clone(&counters),
     );
     let slots = usize::try_from(config.limits.queue.slots).unwrap_or(usize::MAX);
@@ -218,7 +218,7 @@
     let settings = config.orders?;
     let engine = Arc::clone(runner.engine.as_ref()?);
     let (board, counters) = (Arc::clone(&runner.board), Arc::clone(&runner.counters));
-    let platform = platform(config, &counters).of(ControlKind::Placement);
+    let platform = platform(config, &counters).with_kind(ControlKind::Placement);
     Some(OrderLoop::new(
         settings,
         config.backend,
@@ -231,7 +231,7 @@
 
 fn platform(config: &SidecarConfig, counters: &Arc<Counters>) -> PlatformClient {
     PlatformClient::new(config.platform, config.limits.platform)
-        .counted_by(ControlTraffic::new(Arc::clone(counters)))
+        .with_traffic(ControlTraffic::new(Arc::clone(counters)))
 }
 
 async fn tick(gate: ActorRef<GateMessage>) {
--- a/crates/amaranthscale/src/sidecar/kept.rs
+++ b/crates/amaranthscale/src/sidecar/kept.rs
@@ -12,7 +12,7 @@
 use super::{Sidecar, SidecarConfig, SidecarError, TreeSource, counters, platform};
 use crate::connection::{PeerClient, PeerClientLimits};
 use crate::process::{ControlKind, ControlTraffic, poll_hosts};
-use crate::version::{TreeKeeperArguments, TreeKeeperHandle, TreeKeeperSettings, exchange_peers};
+use crate::version::{TreeSyncArguments, TreeSyncHandle, TreeSyncSettings, exchange_peers};
 
 /// Time between two looks at the host list. A sidecar needs it only to find peers while the
 /// table is away, and 660 of them must not load the platform.
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct KeptSidecar {
     sidecar: Sidecar,
-    tree: TreeKeeperHandle,
+    tree: TreeSyncHandle,
     host_watch: JoinHandle<()>,
 }
 
@@ -30,17 +30,17 @@
     /// Starts a keeper, then the sidecar.
     pub async fn start(
         config: SidecarConfig,
-        settings: TreeKeeperSettings,
+        settings: TreeSyncSettings,
     ) -> Result<Self, SidecarError> {
         let counters = counters(&config)?;
         let platform = platform(&config, &counters);
         let traffic = ControlTraffic::new(Arc::clone(&counters));
-        let peers = PeerClient::new(PeerClientLimits::default()).counted_by(traffic);
+        let peers = PeerClient::new(PeerClientLimits::default()).with_traffic(traffic);
         let (found, peer_addresses) = watch::channel(Vec::new());
-        let tree = TreeKeeperHandle::start(TreeKeeperArguments {
+        let tree = TreeSyncHandle::start(TreeSyncArguments {
             host: config.host.clone(),
             settings,
-            platform: platform.of(ControlKind::TreePoll),
+            platform: platform.with_kind(ControlKind::TreePoll),
             peers: Arc::new(peers),
             peer_addresses,
             counters: Arc::clone(&counters),
@@ -50,7 +50,7 @@
         let own_host = config.host.clone();
         let sidecar = Sidecar::start_counting(config, source(&tree), counters).await?;
         let host_watch = tokio::spawn(poll_hosts(
-            platform.of(ControlKind::HostList),
+            platform.with_kind(ControlKind::HostList),
             HOST_POLL,
             move |hosts| {
                 found.send_replace(entries(&own_host, &hosts));
@@ -71,7 +71,7 @@
 
     /// The keeper of its settings tree.
     #[must_use]
-    pub const fn tree(&self) -> &TreeKeeperHandle {
+    pub const fn tree(&self) -> &TreeSyncHandle {
         &self.tree
     }
 
@@ -89,12 +89,12 @@
     }
 }
 
-fn source(tree: &TreeKeeperHandle) -> TreeSource {
+fn source(tree: &TreeSyncHandle) -> TreeSource {
     let (since, version, heard) = (tree.clone(), tree.in_force(), tree.clone());
     TreeSource::new(
         move |ask| since.since(ask.version),
         move || version.borrow().version(),
-        move |version| heard.heard_of(version),
+        move |version| heard.report_version(version),
     )
 }
 
--- a/crates/amaranthscale/src/sidecar/routes.rs
+++ b/crates/amaranthscale/src/sidecar/routes.rs
@@ -167,14 +167,14 @@
 
     fn count_message(&self, kind: ControlKind, body: &Bytes) {
         let traffic = self.traffic();
-        traffic.message(kind);
-        traffic.received(kind, body.len());
+        traffic.count_message(kind);
+        traffic.count_received(kind, body.len());
     }
 
     /// An answer that is known whole, counted by kind.
     fn packed(&self, kind: ControlKind, message: &impl Serialize) -> Response<ResponseBody> {
         let content = wire::encode(message);
-        self.traffic().sent(kind, content.len());
+        self.traffic().count_sent(kind, content.len());
         with_content_type(content, "application/msgpack")
     }
 
--- a/crates/amaranthscale/src/version.rs
+++ b/crates/amaranthscale/src/version.rs
@@ -5,8 +5,8 @@
 mod planner;
 mod published_tree;
 mod tree_client;
-mod tree_keeper;
-mod tree_keeper_handle;
+mod tree_sync;
+mod tree_sync_handle;
 
 #[doc(inline)]
 pub use edit_proposal::{EditProposal, EditResult};
@@ -22,9 +22,8 @@
 #[doc(inline)]
 pub use tree_client::{ReadTreeError, offer_to_peer, read_from_peer, read_from_table};
 #[doc(inline)]
-pub use tree_keeper::{
-    Origin, TreeKeeper, TreeKeeperArguments, TreeKeeperSettings, TreeKeeperState, TreeMessage,
-    TreeStatus,
+pub use tree_sync::{
+    Origin, TreeMessage, TreeStatus, TreeSync, TreeSyncArguments, TreeSyncSettings, TreeSyncState,
 };
 #[doc(inline)]
-pub use tree_keeper_handle::TreeKeeperHandle;
+pub use tree_sync_handle::TreeSyncHandle;
--- a/crates/amaranthscale/src/version/planner.rs
+++ b/crates/amaranthscale/src/version/planner.rs
@@ -86,7 +86,7 @@
         let settings = arguments.settings;
         myself.cast(PlannerMessage::Turn)?;
         Ok(PlannerState {
-            lease: PlannerLease::new(arguments.host.clone(), incarnation, settings.lease),
+            lease: PlannerLease::new(arguments.host.clone(), incarnation, settings.lease_duration),
             loads: LoadTracker::new(settings.load_patience),
             random: SmallRng::seed_from_u64(arguments.seed),
             started: Instant::now(),
@@ -284,7 +284,7 @@
 
     fn jittered_poll(&mut self) -> Duration {
         let share = self.random.random_range(LEAST_POLL_SHARE..1.0);
-        self.arguments.settings.poll.mul_f64(share)
+        self.arguments.settings.poll_interval.mul_f64(share)
     }
 }
 
--- a/crates/amaranthscale/src/version/planner/settings.rs
+++ b/crates/amaranthscale/src/version/planner/settings.rs
@@ -23,9 +23,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PlannerSettings {
     /// Time between two looks at the lease row.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// Silence after which the lease is taken over.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// Longest wait for the table to settle a write.
     pub write_patience: Duration,
     /// Time after which a load no longer holds back others.
@@ -37,8 +37,8 @@
 impl Default for PlannerSettings {
     fn default() -> Self {
         Self {
-            poll: POLL,
-            lease: LEASE,
+            poll_interval: POLL,
+            lease_duration: LEASE,
             write_patience: WRITE_PATIENCE,
             load_patience: LOAD_PATIENCE,
             limits: PlanLimits::default(),
--- a/crates/amaranthscale/src/version/tree_client.rs
+++ b/crates/amaranthscale/src/version/tree_client.rs
@@ -10,7 +10,7 @@
 use amaranthscale_core::wire::{self, Row, TreeReply, TreeRequest};
 use quick_error::quick_error;
 
-use crate::connection::{PeerClient, read_arriving_body};
+use crate::connection::{PeerClient, read_body_with_idle_timeout};
 use crate::process::{ControlKind, PlatformClient, PlatformError};
 
 /// Most edits read in one go; whoever is further behind takes the snapshot first.
@@ -109,7 +109,8 @@
         let response = tokio::time::timeout(PEER_PATIENCE, answering).await.ok()?;
         let response = response.ok()?;
         let is_success = response.status().is_success();
-        let body = read_arriving_body(response.into_body(), MAX_REPLY_BYTES, PEER_PATIENCE);
+        let body =
+            read_body_with_idle_timeout(response.into_body(), MAX_REPLY_BYTES, PEER_PATIENCE);
         let body = body.await.ok()?;
         is_success.then_some(body)
     };
--- a/crates/amaranthscale/src/version/tree_keeper.rs
+++ b/crates/amaranthscale/src/version/tree_sync.rs
@@ -34,47 +34,47 @@
 
 /// How often the keeper looks for a newer tree.
 #[derive(Debug, Clone, Copy)]
-pub struct TreeKeeperSettings {
+pub struct TreeSyncSettings {
     /// Time between polls of the table.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// Time between comparisons with a random peer; none switches them off.
-    pub exchange: Option<Duration>,
+    pub exchange_interval: Option<Duration>,
 }
 
-impl Default for TreeKeeperSettings {
+impl Default for TreeSyncSettings {
     fn default() -> Self {
         Self {
-            poll: Duration::from_secs(2),
-            exchange: Some(Duration::from_secs(2)),
+            poll_interval: Duration::from_secs(2),
+            exchange_interval: Some(Duration::from_secs(2)),
         }
     }
 }
 
-impl TreeKeeperSettings {
+impl TreeSyncSettings {
     /// Whether a keeper that has not polled for so long was paused.
     pub(super) fn is_pause(&self, unseen: Duration) -> bool {
-        unseen > self.poll * PAUSE_POLLS
+        unseen > self.poll_interval * PAUSE_POLLS
     }
 }
 
-impl From<&TreeSettings> for TreeKeeperSettings {
+impl From<&TreeSettings> for TreeSyncSettings {
     /// An exchange time of 0 ms switches the exchange off.
     fn from(settings: &TreeSettings) -> Self {
         let exchange = Duration::from_millis(settings.exchange_ms);
         Self {
-            poll: Duration::from_millis(settings.poll_ms),
-            exchange: (!exchange.is_zero()).then_some(exchange),
+            poll_interval: Duration::from_millis(settings.poll_ms),
+            exchange_interval: (!exchange.is_zero()).then_some(exchange),
         }
     }
 }
 
 /// What the keeper starts with.
 #[derive(Debug, Clone)]
-pub struct TreeKeeperArguments {
+pub struct TreeSyncArguments {
     /// Host of this process.
     pub host: HostId,
     /// How often to look.
-    pub settings: TreeKeeperSettings,
+    pub settings: TreeSyncSettings,
     /// The platform.
     pub platform: PlatformClient,
     /// Connections to peers.
@@ -128,12 +128,12 @@
 
 /// The actor.
 #[derive(Debug)]
-pub struct TreeKeeper;
+pub struct TreeSync;
 
 /// State of the actor.
 #[derive(Debug)]
-pub struct TreeKeeperState {
-    arguments: TreeKeeperArguments,
+pub struct TreeSyncState {
+    arguments: TreeSyncArguments,
     log: TreeLog,
     published: PublishedTree,
     random: SmallRng,
@@ -142,24 +142,24 @@
     last_heard: TreeVersion,
 }
 
-impl Actor for TreeKeeper {
+impl Actor for TreeSync {
     type Msg = TreeMessage;
-    type State = TreeKeeperState;
-    type Arguments = (TreeKeeperArguments, PublishedTree);
+    type State = TreeSyncState;
+    type Arguments = (TreeSyncArguments, PublishedTree);
 
     async fn pre_start(
         &self,
         myself: ActorRef<TreeMessage>,
         (arguments, published): Self::Arguments,
-    ) -> Result<TreeKeeperState, ActorProcessingErr> {
+    ) -> Result<TreeSyncState, ActorProcessingErr> {
         let log = TreeLog::clone(&published.log.borrow());
         let random = SmallRng::seed_from_u64(arguments.seed);
         myself.cast(TreeMessage::Poll)?;
-        if arguments.settings.exchange.is_some() {
+        if arguments.settings.exchange_interval.is_some() {
             myself.cast(TreeMessage::Exchange)?;
         }
         let (doubted_at, is_table_away) = (Instant::now(), false);
-        Ok(TreeKeeperState {
+        Ok(TreeSyncState {
             arguments,
             log,
             published,
@@ -174,7 +174,7 @@
         &self,
         myself: ActorRef<TreeMessage>,
         message: TreeMessage,
-        state: &mut TreeKeeperState,
+        state: &mut TreeSyncState,
     ) -> Result<(), ActorProcessingErr> {
         match message {
             TreeMessage::Poll => state.poll(&myself),
@@ -184,7 +184,7 @@
             TreeMessage::Offered(offer) => {
                 state.take(offer);
             }
-            TreeMessage::HeardOf(version) => state.heard_of(&myself, version),
+            TreeMessage::HeardOf(version) => state.report_version(&myself, version),
             TreeMessage::Accepted(record, reply) => {
                 state.accepted(*record);
                 let _ = reply.send(());
@@ -197,12 +197,12 @@
     }
 }
 
-impl TreeKeeperState {
+impl TreeSyncState {
     /// Looks at the table, and sets the time for the next look.
     fn poll(&mut self, myself: &ActorRef<TreeMessage>) {
         self.doubt_after_pause();
         let every = if *self.published.ready.borrow() {
-            self.arguments.settings.poll
+            self.arguments.settings.poll_interval
         } else {
             START_PAUSE
         };
@@ -238,7 +238,7 @@
     }
 
     fn exchange(&mut self, myself: &ActorRef<TreeMessage>) {
-        let Some(every) = self.arguments.settings.exchange else {
+        let Some(every) = self.arguments.settings.exchange_interval else {
             return;
         };
         let every = if *self.published.ready.borrow() {
@@ -261,7 +261,7 @@
     }
 
     /// Looks at the table at once, or at a random peer while the table is away.
-    fn heard_of(&mut self, myself: &ActorRef<TreeMessage>, version: TreeVersion) {
+    fn report_version(&mut self, myself: &ActorRef<TreeMessage>, version: TreeVersion) {
         if version <= self.last_heard.max(self.log.version()) {
             return;
         }
--- a/crates/amaranthscale/src/version/tree_keeper_handle.rs
+++ b/crates/amaranthscale/src/version/tree_sync_handle.rs
@@ -20,8 +20,8 @@
 
 use super::tree_client::{offer_to_peer, read_from_table};
 use super::{
-    EditProposal, EditResult, Origin, PublishedTree, TreeKeeper, TreeKeeperArguments, TreeMessage,
-    TreeStatus,
+    EditProposal, EditResult, Origin, PublishedTree, TreeMessage, TreeStatus, TreeSync,
+    TreeSyncArguments,
 };
 use crate::process::{ControlKind, TableWrite, new_write_id};
 
@@ -33,18 +33,18 @@
 
 /// Asks the keeper, and makes edits.
 #[derive(Debug, Clone)]
-pub struct TreeKeeperHandle {
+pub struct TreeSyncHandle {
     actor: ActorRef<TreeMessage>,
-    arguments: TreeKeeperArguments,
+    arguments: TreeSyncArguments,
     in_force: watch::Receiver<Arc<CompiledTree>>,
     log: watch::Receiver<Arc<TreeLog>>,
     ready: watch::Receiver<bool>,
     polled: watch::Receiver<Instant>,
 }
 
-impl TreeKeeperHandle {
+impl TreeSyncHandle {
     /// Starts a keeper.
-    pub async fn start(arguments: TreeKeeperArguments) -> Result<Self, SpawnErr> {
+    pub async fn start(arguments: TreeSyncArguments) -> Result<Self, SpawnErr> {
         let log = TreeLog::new(SettingsTree::empty());
         let log = log.map_err(|error| SpawnErr::StartupFailed(Box::new(error)))?;
         let published = PublishedTree::new(log);
@@ -52,8 +52,7 @@
         let log = published.log.subscribe();
         let ready = published.ready.subscribe();
         let polled = published.polled.subscribe();
-        let (actor, _joined) =
-            Actor::spawn(None, TreeKeeper, (arguments.clone(), published)).await?;
+        let (actor, _joined) = Actor::spawn(None, TreeSync, (arguments.clone(), published)).await?;
         Ok(Self {
             actor,
             arguments,
@@ -93,19 +92,19 @@
     }
 
     /// Tells of a version that a message carried.
-    pub fn heard(&self, version: TreeVersion, address: SocketAddr) {
+    pub fn report_peer_version(&self, version: TreeVersion, address: SocketAddr) {
         if version > self.in_force.borrow().version() {
             let _ = self.actor.cast(TreeMessage::Heard(version, address));
         }
     }
 
     /// Takes edits that a peer offers.
-    pub fn offered(&self, offer: TreeReply) {
+    pub fn apply_offer(&self, offer: TreeReply) {
         let _ = self.actor.cast(TreeMessage::Offered(offer));
     }
 
     /// Tells of a version that some process showed.
-    pub fn heard_of(&self, version: TreeVersion) {
+    pub fn report_version(&self, version: TreeVersion) {
         if version > self.in_force.borrow().version() {
             let _ = self.actor.cast(TreeMessage::HeardOf(version));
         }
@@ -161,7 +160,7 @@
     async fn write(&self, record: EditRecord, tree: &SettingsTree) -> EditResult {
         let mut write = TableWrite::new(edit_write(&record, tree));
         let until = Instant::now() + EDIT_PATIENCE;
-        let platform = self.arguments.platform.of(ControlKind::Edit);
+        let platform = self.arguments.platform.with_kind(ControlKind::Edit);
         match write.settle_until(&platform, until).await {
             Some(WriteStep::Won { .. } | WriteStep::Superseded { .. }) => {
                 self.accepted(record).await
@@ -205,7 +204,7 @@
         loop {
             let log = Arc::clone(&self.log.borrow());
             let asked_at = Instant::now();
-            let platform = self.arguments.platform.of(ControlKind::Edit);
+            let platform = self.arguments.platform.with_kind(ControlKind::Edit);
             let reply = read_from_table(&platform, log.version()).await.ok()?;
             if matches!(reply, TreeReply::UpToDate(_)) {
                 return Some(log);
--- a/crates/amaranthscale/tests/control_traffic.rs
+++ b/crates/amaranthscale/tests/control_traffic.rs
@@ -55,11 +55,14 @@
     let server = platform_with_one_row().await;
     let counters = Arc::new(Counters::local("test"));
     let platform = PlatformClient::new(server.address(), PlatformClientLimits::default())
-        .counted_by(ControlTraffic::new(Arc::clone(&counters)));
+        .with_traffic(ControlTraffic::new(Arc::clone(&counters)));
 
     // Act
-    let polled = platform.of(ControlKind::TreePoll).row("tree/head").await;
-    let claimed = platform.of(ControlKind::Claim).row("claim/a").await;
+    let polled = platform
+        .with_kind(ControlKind::TreePoll)
+        .row("tree/head")
+        .await;
+    let claimed = platform.with_kind(ControlKind::Claim).row("claim/a").await;
 
     // Assert
     assert!(polled.is_ok() && claimed.is_ok());
--- a/crates/amaranthscale/tests/counters.rs
+++ b/crates/amaranthscale/tests/counters.rs
@@ -13,7 +13,7 @@
     // Arrange
     let statsd = UdpSocket::bind("127.0.0.1:0").unwrap();
     statsd.set_read_timeout(Some(WAIT)).unwrap();
-    let counters = Counters::sent_to("amaranth.entry", statsd.local_addr().unwrap()).unwrap();
+    let counters = Counters::with_statsd("amaranth.entry", statsd.local_addr().unwrap()).unwrap();
 
     // Act
     counters.count_reason("attempt.refused", "QueueFull");
--- a/crates/standins/src/deployment/running_backend.rs
+++ b/crates/standins/src/deployment/running_backend.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use amaranthscale::sidecar::{KeptSidecar, SidecarConfig, SidecarLimits};
-use amaranthscale::version::TreeKeeperSettings;
+use amaranthscale::version::TreeSyncSettings;
 use amaranthscale_core::id::{HostId, ServiceId};
 use amaranthscale_core::process::FairQueueLimits;
 
@@ -50,7 +50,7 @@
                 ..SidecarLimits::default()
             },
         };
-        let sidecar = KeptSidecar::start(config, TreeKeeperSettings::default()).await?;
+        let sidecar = KeptSidecar::start(config, TreeSyncSettings::default()).await?;
         Ok(Self {
             host,
             service: plan.service.clone(),
--- a/crates/standins/tests/orders_planner.rs
+++ b/crates/standins/tests/orders_planner.rs
@@ -49,7 +49,7 @@
 /// busy machine it does not take the lease back from a successor that is merely slow.
 fn believing_planner() -> PlannerSettings {
     PlannerSettings {
-        lease: LONG_SILENCE,
+        lease_duration: LONG_SILENCE,
         ..quick_planner()
     }
 }
--- a/crates/standins/tests/support/orders_bench.rs
+++ b/crates/standins/tests/support/orders_bench.rs
@@ -209,8 +209,8 @@
 /// Settings of a planner that looks often.
 pub fn quick_planner() -> PlannerSettings {
     PlannerSettings {
-        poll: POLL,
-        lease: LEASE,
+        poll_interval: POLL,
+        lease_duration: LEASE,
         ..PlannerSettings::default()
     }
 }
