--- a/crates/amaranthscale/src/gateway/connection.rs
+++ b/crates/amaranthscale/src/gateway/connection.rs
@@ -1,6 +1,6 @@
 //! What lives as long as a connection: kept connections to backend servers.
 
-mod server_pool;
+mod connection_pool;
 
 #[doc(inline)]
-pub use server_pool::{ServerConnection, ServerPool};
+pub use connection_pool::{ConnectionPool, ServerConnection};
--- a/crates/amaranthscale/src/gateway/connection/server_pool.rs
+++ b/crates/amaranthscale/src/gateway/connection/connection_pool.rs
@@ -79,11 +79,11 @@
 
 /// Kept connections by server.
 #[derive(Debug, Default)]
-pub struct ServerPool {
+pub struct ConnectionPool {
     idle: Mutex<BTreeMap<ServerIncarnation, Vec<Idle>>>,
 }
 
-impl ServerPool {
+impl ConnectionPool {
     /// A kept connection, or a new one.
     pub async fn connection(&self, server: &ServerRecord) -> Result<ServerConnection, SendError> {
         if let Some(connection) = self.kept(&server.incarnation) {
--- a/crates/amaranthscale/src/gateway/daemon.rs
+++ b/crates/amaranthscale/src/gateway/daemon.rs
@@ -11,15 +11,15 @@
 use tokio::task::JoinHandle;
 
 use super::GatewayConfig;
-use super::connection::ServerPool;
+use super::connection::ConnectionPool;
 use super::listen::{OtherServers, bind, listen_callers, listen_others};
 use super::process::{
     BatchOwnerArguments, BatchOwners, BoundedServers, Budgets, CrashWatch, GatewayParts,
-    LimitWatch, ServicePromptTimes, StopGate, forget_limits, remove_outdated, tell_crashes,
+    LimitTracker, ServicePromptTimes, StopGate, forget_limits, remove_outdated, tell_crashes,
     tell_limits, tend_silent,
 };
 use super::version::{
-    FeedPace, KEY_AGE_PERCENT, Knowledge, Neighbours, Own, READY_AGE_PERCENT, announce_instance,
+    ClusterView, FeedPace, KEY_AGE_PERCENT, Neighbours, Own, READY_AGE_PERCENT, announce_instance,
     follow_instances, follow_routing, follow_servers, withdraw_instance,
 };
 use crate::connection::{HttpServer, PeerClient, PeerClientLimits};
@@ -69,15 +69,15 @@
     pub async fn start(mut config: GatewayConfig) -> Result<Self, GatewayError> {
         // Bound first: the announcement names the port that the system gave.
         let peers = bind("other gateways", config.announcement.address).await?;
-        config.announcement.address = peers
-            .local_addr()
-            .map_err(|cause| GatewayError::Listen("other gateways", config.callers, cause))?;
-        let knowledge = Arc::new(Knowledge::new(
+        config.announcement.address = peers.local_addr().map_err(|cause| {
+            GatewayError::Listen("other gateways", config.caller_address, cause)
+        })?;
+        let cluster_view = Arc::new(ClusterView::new(
             config.clock,
             config.instance.clone(),
             config.announcement.clone(),
         ));
-        let parts = Arc::new(start_parts(&config, &knowledge));
+        let parts = Arc::new(start_parts(&config, &cluster_view));
         let own = Own {
             instance: config.instance.clone(),
             announcement: config.announcement.clone(),
@@ -146,7 +146,7 @@
         info!(instance, open = self.parts.stop.open(); "gateway: stopping");
         let ends_at = tokio::time::Instant::now() + self.config.stop_bound - STOP_MARGIN;
         self.parts.stop.stop();
-        self.parts.knowledge.step_down();
+        self.parts.cluster_view.step_down();
         self.parts.batches.stop();
         let withdrawing = withdraw_instance(&self.config.store, &self.config.instance);
         let leaving = tokio::time::sleep(LEAVE_ROTATION);
@@ -171,7 +171,7 @@
 
 fn follow(config: &GatewayConfig, parts: &GatewayParts, own: Own) -> Vec<JoinHandle<()>> {
     let neighbours = Neighbours {
-        knowledge: Arc::clone(&parts.knowledge),
+        cluster_view: Arc::clone(&parts.cluster_view),
         peers: Arc::clone(&parts.peers),
         handed_on: Arc::clone(&parts.handed_on),
         counters: Arc::clone(&parts.counters),
@@ -198,17 +198,21 @@
     ]
 }
 
-fn start_parts(config: &GatewayConfig, knowledge: &Arc<Knowledge>) -> GatewayParts {
+fn start_parts(config: &GatewayConfig, cluster_view: &Arc<ClusterView>) -> GatewayParts {
     let counters = Arc::new(Counters::local("amaranth.gateway"));
-    let pool = Arc::new(ServerPool::default());
+    let pool = Arc::new(ConnectionPool::default());
     let dialect = Arc::new(config.dialect.clone());
-    let limits = LimitWatch::new(config.clock, Arc::clone(knowledge), Arc::clone(&counters));
+    let limits = LimitTracker::new(
+        config.clock,
+        Arc::clone(cluster_view),
+        Arc::clone(&counters),
+    );
     let limits = Arc::new(limits);
     let arguments = BatchOwnerArguments {
         cell: Cell::SINGLE,
-        cold: config.cold,
+        cold_allowance: config.cold_allowance,
         limits: Arc::clone(&limits),
-        knowledge: Arc::clone(knowledge),
+        cluster_view: Arc::clone(cluster_view),
         pool: Arc::clone(&pool),
         dialect: Arc::clone(&dialect),
         counters: Arc::clone(&counters),
@@ -218,7 +222,7 @@
     let crashes = CrashWatch::new(
         config.instance.clone(),
         config.clock,
-        Arc::clone(knowledge),
+        Arc::clone(cluster_view),
         Arc::clone(&counters),
         config.store.clone(),
     );
@@ -226,13 +230,13 @@
         crashes: Arc::new(crashes),
         instance: config.instance.clone(),
         zone: config.zone.clone(),
-        knowledge: Arc::clone(knowledge),
+        cluster_view: Arc::clone(cluster_view),
         limits,
         pool,
         dialect,
-        budgets: Budgets::new(config.budget),
+        budgets: Budgets::new(config.retry_budget),
         prompt_times: ServicePromptTimes::default(),
-        bounded: BoundedServers::new(config.cold, config.clock.now()),
+        bounded: BoundedServers::new(config.cold_allowance, config.clock.now()),
         batches: Arc::new(BatchOwners::new(arguments)),
         peers: Arc::new(PeerClient::new(PEER_LIMITS)),
         handed_on: Arc::default(),
@@ -248,7 +252,7 @@
 
 /// Tells of each change those who work by what is known.
 async fn tell_changes(parts: Arc<GatewayParts>) {
-    let mut changes = parts.knowledge.changes();
+    let mut changes = parts.cluster_view.changes();
     while changes.changed().await.is_ok() {
         parts.crashes.servers_changed();
         parts.batches.tell_changed();
@@ -259,7 +263,7 @@
 async fn sweep(parts: Arc<GatewayParts>) {
     loop {
         tokio::time::sleep(SWEEP).await;
-        let servers = parts.knowledge.servers();
+        let servers = parts.cluster_view.servers();
         let is_known = |life: &ServerIncarnation| servers.is_usable(life);
         parts.pool.retain(is_known);
         parts.choice().retain(is_known);
--- a/crates/amaranthscale/src/gateway/dialect.rs
+++ b/crates/amaranthscale/src/gateway/dialect.rs
@@ -13,7 +13,7 @@
 quick_error! {
     /// A request's head that cannot be served.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum InvalidHead {
+    pub enum InvalidHeader {
         /// A header is missing.
         Missing(header: HeaderName) {
             display("header {header} is missing: send it with every request")
@@ -45,18 +45,18 @@
     /// The last event that the caller has.
     pub last_event: HeaderName,
     /// Headers that reach the server whatever the caller says of them.
-    pub kept: Vec<HeaderName>,
+    pub always_forwarded: Vec<HeaderName>,
     /// Headers that callers may not set.
     pub reserved: Vec<HeaderName>,
 }
 
 /// What a caller's head says of the work.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CallerWork {
+pub struct RequestAttributes {
     /// The caller's name of this send.
     pub call: CallId,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Pieces of each stage.
     pub pieces: Vec<usize>,
     /// Key of the pieces.
@@ -66,7 +66,7 @@
     /// Tokens of the prompt; 0 if not known.
     pub prompt_tokens: u64,
     /// Last part of the prompt that other requests share.
-    pub shared_part: Option<String>,
+    pub shared_prefix: Option<String>,
 }
 
 /// How one platform's callers and servers speak.
@@ -75,7 +75,7 @@
     /// Names of headers.
     pub headers: HeaderNames,
     /// Reads what a caller's head says of the work.
-    pub caller_work: fn(&HeaderMap) -> Result<CallerWork, InvalidHead>,
+    pub parse_request_attributes: fn(&HeaderMap) -> Result<RequestAttributes, InvalidHeader>,
     /// Whether an answer says that the request did not run.
     pub did_not_run: fn(StatusCode, &HeaderMap) -> bool,
     /// Whether an answer says that the address has another server.
@@ -83,15 +83,15 @@
     /// Whether an answer says that a result which the request needs is gone.
     pub is_input_gone: fn(StatusCode) -> bool,
     /// The load that an answer tells.
-    pub told_load: fn(&HeaderMap) -> Option<ServerLoad>,
+    pub reported_load: fn(&HeaderMap) -> Option<ServerLoad>,
     /// The limit that an answer names.
-    pub named_limit: fn(&HeaderMap) -> Option<Result<ServerLimit, InvalidServerLimit>>,
+    pub reported_limit: fn(&HeaderMap) -> Option<Result<ServerLimit, InvalidServerLimit>>,
     /// A call for a batch of pieces.
-    pub batch: fn(&Batch) -> Request<Full<Bytes>>,
+    pub batch_request: fn(&Batch) -> Request<Full<Bytes>>,
     /// Reads the answer to such a call.
-    pub batch_end: fn(StatusCode, &HeaderMap, &[u8]) -> BatchEnd,
+    pub parse_batch_answer: fn(StatusCode, &HeaderMap, &[u8]) -> BatchEnd,
     /// When to come back, as callers read it.
     pub retry_after: fn(Duration) -> HeaderValue,
     /// A call that frees results.
-    pub free: fn(&[ResultHandle]) -> Request<Full<Bytes>>,
+    pub free_request: fn(&[ResultHandle]) -> Request<Full<Bytes>>,
 }
--- a/crates/amaranthscale/src/gateway/listen.rs
+++ b/crates/amaranthscale/src/gateway/listen.rs
@@ -34,14 +34,14 @@
     let handle = move |request: Request<Incoming>| answer_caller(Arc::clone(&handled), request);
     let limited = Arc::clone(parts);
     let limits = move || caller_limits(&limited);
-    let listener = bind("callers", config.callers).await?;
+    let listener = bind("callers", config.caller_address).await?;
     HttpServer::start_on(listener, limits, handle)
-        .map_err(|cause| GatewayError::Listen("callers", config.callers, cause))
+        .map_err(|cause| GatewayError::Listen("callers", config.caller_address, cause))
 }
 
 /// Bounds of a new connection by the routing in force.
 fn caller_limits(parts: &GatewayParts) -> HttpServerLimits {
-    let Some(routing) = parts.knowledge.routing() else {
+    let Some(routing) = parts.cluster_view.routing() else {
         return HttpServerLimits::default();
     };
     let bounds = routing.bounds();
@@ -72,16 +72,16 @@
         let response = ready_response(&asked);
         async move { response }
     };
-    let ready = HttpServer::start(config.ready, limits, ready)
+    let ready = HttpServer::start(config.ready_address, limits, ready)
         .await
-        .map_err(|cause| GatewayError::Listen("readiness", config.ready, cause))?;
+        .map_err(|cause| GatewayError::Listen("readiness", config.ready_address, cause))?;
     let asked = Arc::clone(parts);
     let answer_peer = move |request: Request<Incoming>| serve_peer(Arc::clone(&asked), request);
     let address = config.announcement.address;
     let peers = HttpServer::start_on(peers, move || limits, answer_peer)
         .map_err(|cause| GatewayError::Listen("other gateways", address, cause))?;
     let mut metrics = None;
-    if let Some(address) = config.metrics {
+    if let Some(address) = config.metrics_address {
         let shown = Arc::clone(parts);
         let answer = move |request: Request<Incoming>| {
             let response = operator_response(&shown, &request);
@@ -100,12 +100,12 @@
 }
 
 fn ready_response(parts: &GatewayParts) -> Response<ResponseBody> {
-    let is_known = parts.knowledge.routing().is_some();
+    let is_known = parts.cluster_view.routing().is_some();
     let is_fresh = parts
-        .knowledge
+        .cluster_view
         .age()
         .is_some_and(|age| age <= parts.ready_age);
-    let is_behind = parts.knowledge.is_behind(parts.behind_after);
+    let is_behind = parts.cluster_view.is_behind(parts.behind_after);
     let is_ready = is_known && is_fresh && !is_behind && !parts.stop.is_stopping();
     let mut response = Response::new(empty_body());
     if !is_ready {
--- a/crates/amaranthscale/src/gateway/process.rs
+++ b/crates/amaranthscale/src/gateway/process.rs
@@ -9,7 +9,7 @@
 mod budgets;
 mod crash_watch;
 mod kept_pieces;
-mod limit_watch;
+mod limit_tracker;
 mod parts;
 mod peer_message;
 mod peer_pieces;
@@ -24,7 +24,7 @@
 mod tend_silent;
 
 #[doc(inline)]
-pub use batch_message::{BatchOwnerMessage, JobAnswer, JobNews, JobSource, Submission};
+pub use batch_message::{BatchOwnerMessage, JobOutcome, JobSource, JobUpdate, Submission};
 #[doc(inline)]
 pub use batch_owner::{BatchOwner, BatchOwnerArguments};
 #[doc(inline)]
@@ -38,7 +38,7 @@
 #[doc(inline)]
 pub use crash_watch::CrashWatch;
 #[doc(inline)]
-pub use limit_watch::LimitWatch;
+pub use limit_tracker::LimitTracker;
 #[doc(inline)]
 pub use parts::GatewayParts;
 #[doc(inline)]
--- a/crates/amaranthscale/src/gateway/process/batch_calls.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_calls.rs
@@ -12,9 +12,9 @@
 
 use super::super::Dialect;
 use super::super::clock::ms;
-use super::super::connection::ServerPool;
-use super::super::version::Knowledge;
-use super::LimitWatch;
+use super::super::connection::ConnectionPool;
+use super::super::version::ClusterView;
+use super::LimitTracker;
 use crate::connection::{SendError, read_body};
 use crate::process::Counters;
 
@@ -26,11 +26,11 @@
 /// What calls to stage servers need.
 #[derive(Debug, Clone)]
 pub(super) struct BatchCaller {
-    pub(super) pool: Arc<ServerPool>,
+    pub(super) pool: Arc<ConnectionPool>,
     pub(super) dialect: Arc<Dialect>,
-    pub(super) knowledge: Arc<Knowledge>,
+    pub(super) cluster_view: Arc<ClusterView>,
     pub(super) counters: Arc<Counters>,
-    pub(super) limits: Arc<LimitWatch>,
+    pub(super) limits: Arc<LimitTracker>,
 }
 
 /// Has a batch made; a call without an answer in time counts as lost.
@@ -90,14 +90,14 @@
         pool.fresh(&batch.server, batch.address).await?
     };
     // Its zone may have been evacuated, or it may have begun to leave, since it was chosen.
-    if !caller.knowledge.servers().is_usable(&batch.server) {
+    if !caller.cluster_view.servers().is_usable(&batch.server) {
         return Ok(CallEnd {
             end: BatchEnd::NotSent,
             told: None,
         });
     }
     let sent_at = Instant::now();
-    let response = connection.send((dialect.batch)(batch)).await?;
+    let response = connection.send((dialect.batch_request)(batch)).await?;
     let (head, body) = response.into_parts();
     caller.limits.heard(dialect, &batch.server, &head, sent_at);
     let body = read_body(body, MAX_ANSWER_BYTES, batch.timeout)
@@ -105,8 +105,8 @@
         .map_err(|error| SendError::Lost(batch.address, error.to_string()))?;
     pool.give_back(connection, &head.headers, ConnectionShare::UNLIMITED);
     Ok(CallEnd {
-        end: (dialect.batch_end)(head.status, &head.headers, &body),
-        told: (dialect.told_load)(&head.headers),
+        end: (dialect.parse_batch_answer)(head.status, &head.headers, &body),
+        told: (dialect.reported_load)(&head.headers),
     })
 }
 
@@ -123,13 +123,15 @@
 }
 
 /// Lets a server drop results.
-pub(super) async fn call_free(dialect: &Dialect, pool: &ServerPool, frees: &FreeRequest) {
+pub(super) async fn call_free(dialect: &Dialect, pool: &ConnectionPool, frees: &FreeRequest) {
     let call = async {
         let mut connection = match pool.kept(&frees.server) {
             Some(connection) => connection,
             None => pool.fresh(&frees.server, frees.address).await?,
         };
-        let response = connection.send((dialect.free)(&frees.handles)).await?;
+        let response = connection
+            .send((dialect.free_request)(&frees.handles))
+            .await?;
         let (head, body) = response.into_parts();
         if read_body(body, MAX_ANSWER_BYTES, FREE_PATIENCE)
             .await
--- a/crates/amaranthscale/src/gateway/process/batch_message.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_message.rs
@@ -12,7 +12,7 @@
 
 /// What a job came to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum JobAnswer {
+pub enum JobOutcome {
     /// All pieces are made.
     Done(Vec<ResultHandle>),
     /// The job was not taken; nothing of it was begun.
@@ -30,7 +30,7 @@
 
 /// What an owner tells of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum JobNews {
+pub enum JobUpdate {
     /// Some of its pieces are made.
     Made(Vec<RetainedResult>),
     /// A call with some of its pieces was cut off at a server.
@@ -43,14 +43,14 @@
     /// What was made of a stage is there no more.
     Dropped(usize),
     /// What it came to; nothing follows.
-    Ended(JobAnswer),
+    Ended(JobOutcome),
 }
 
 /// Where a job comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobSource {
     /// A request at this gateway, for which no other gateway is left to ask.
-    Here,
+    Local,
     /// Another gateway, which can ask the next owner.
     Peer,
 }
@@ -82,7 +82,7 @@
     /// Tells the sender the job's id at once.
     pub id: oneshot::Sender<JobId>,
     /// Tells what becomes of it by and by.
-    pub news: mpsc::UnboundedSender<JobNews>,
+    pub updates: mpsc::UnboundedSender<JobUpdate>,
     /// Where it comes from.
     pub source: JobSource,
     /// When it arrived at this process.
--- a/crates/amaranthscale/src/gateway/process/batch_owner.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_owner.rs
@@ -20,11 +20,11 @@
 
 use super::super::Dialect;
 use super::super::clock::ms;
-use super::super::connection::ServerPool;
-use super::super::version::Knowledge;
-use super::LimitWatch;
+use super::super::connection::ConnectionPool;
+use super::super::version::ClusterView;
+use super::LimitTracker;
 use super::batch_calls::{BatchCaller, CallEnd, call_free, run_batch};
-use super::batch_message::{BatchOwnerMessage, JobAnswer, JobNews, JobSource, Submission};
+use super::batch_message::{BatchOwnerMessage, JobOutcome, JobSource, JobUpdate, Submission};
 use crate::process::{Counters, Latencies};
 
 /// Longest time between two looks at what waits: for servers that come back, and what turns late.
@@ -46,11 +46,11 @@
     /// The cell whose batches are owned.
     pub cell: Cell,
     /// Routing and servers.
-    pub knowledge: Arc<Knowledge>,
+    pub cluster_view: Arc<ClusterView>,
     /// How far cold servers may be used.
-    pub cold: ColdAllowance,
+    pub cold_allowance: ColdAllowance,
     /// Connections to stage servers.
-    pub pool: Arc<ServerPool>,
+    pub pool: Arc<ConnectionPool>,
     /// How stage servers are called.
     pub dialect: Arc<Dialect>,
     /// Counts ends of calls and jobs.
@@ -58,7 +58,7 @@
     /// Times of calls by service.
     pub latencies: Arc<Latencies>,
     /// What servers say of their limits.
-    pub limits: Arc<LimitWatch>,
+    pub limits: Arc<LimitTracker>,
 }
 
 /// State of the actor.
@@ -84,7 +84,7 @@
 #[derive(Debug)]
 struct Waiting {
     call: CallId,
-    news: mpsc::UnboundedSender<JobNews>,
+    updates: mpsc::UnboundedSender<JobUpdate>,
     taken_at: Instant,
 }
 
@@ -117,7 +117,7 @@
         message: Self::Msg,
         state: &mut Self::State,
     ) -> Result<(), ActorProcessingErr> {
-        let now = state.arguments.knowledge.clock().now();
+        let now = state.arguments.cluster_view.clock().now();
         match message {
             BatchOwnerMessage::Submit(submission) => state.submit(submission, now),
             BatchOwnerMessage::Release(job) => {
@@ -201,16 +201,16 @@
         let Submission {
             mut order,
             id,
-            news,
+            updates,
             source,
             arrived,
         } = submission;
-        if self.is_stopping && source == JobSource::Here {
+        if self.is_stopping && source == JobSource::Local {
             // A request that was taken is not cut off by a planned stop of all gateways.
             self.batcher.resume();
         } else if self.is_stopping {
             // A caller that has left needs no answer, here as below.
-            let _ = news.send(JobNews::Ended(JobAnswer::Stopping));
+            let _ = updates.send(JobUpdate::Ended(JobOutcome::Stopping));
             return;
         }
         let queued = arrived.elapsed();
@@ -236,7 +236,7 @@
                 let taken_at = Instant::now();
                 let waiting = Waiting {
                     call,
-                    news,
+                    updates,
                     taken_at,
                 };
                 self.waiting.insert(job, waiting);
@@ -252,7 +252,7 @@
                     waiting = self.batcher.queued_stages();
                     "batches: job refused"
                 );
-                let _ = news.send(JobNews::Ended(refusal(refused)));
+                let _ = updates.send(JobUpdate::Ended(refusal(refused)));
             }
         }
     }
@@ -261,19 +261,19 @@
     fn hand_over(&mut self) {
         for job in self.batcher.hand_over() {
             if let Some(waiting) = self.waiting.remove(&job) {
-                let _ = waiting.news.send(JobNews::Ended(JobAnswer::Stopping));
+                let _ = waiting.updates.send(JobUpdate::Ended(JobOutcome::Stopping));
             }
         }
     }
 
     fn take_servers(&mut self) {
-        let Some(routing) = self.arguments.knowledge.routing() else {
+        let Some(routing) = self.arguments.cluster_view.routing() else {
             return;
         };
-        let servers = self.arguments.knowledge.servers();
+        let servers = self.arguments.cluster_view.servers();
         let own = self.arguments.cell.servers(servers.all());
-        let now = self.arguments.knowledge.clock().now();
-        let bounds = self.arguments.cold;
+        let now = self.arguments.cluster_view.clock().now();
+        let bounds = self.arguments.cold_allowance;
         let with_use = own.into_iter().map(|server| {
             let terms = routing.cold_terms(&server.service, bounds);
             (server, servers.availability_of(server, terms, now))
@@ -287,7 +287,7 @@
     /// make pieces instead; their results lapse by themselves.
     fn send_frees(&mut self, myself: &ActorRef<BatchOwnerMessage>) {
         let freeing = &self.freeing;
-        let servers = self.arguments.knowledge.servers();
+        let servers = self.arguments.cluster_view.servers();
         let takes_none = |life: &ServerIncarnation| {
             let server_use = servers.availability(life, None, Duration::ZERO);
             matches!(
@@ -315,7 +315,7 @@
             let caller = BatchCaller {
                 pool: Arc::clone(&self.arguments.pool),
                 dialect: Arc::clone(&self.arguments.dialect),
-                knowledge: Arc::clone(&self.arguments.knowledge),
+                cluster_view: Arc::clone(&self.arguments.cluster_view),
                 counters: Arc::clone(&self.arguments.counters),
                 limits: Arc::clone(&self.arguments.limits),
             };
@@ -334,35 +334,35 @@
         for event in self.batcher.take_events() {
             let (job, answer) = match event {
                 JobEvent::ResultsStored(job, pieces) => {
-                    self.tell_news(job, JobNews::Made(pieces));
+                    self.tell_news(job, JobUpdate::Made(pieces));
                     continue;
                 }
                 JobEvent::ConnectionLost(job, server, address) => {
-                    self.tell_news(job, JobNews::CutOff { server, address });
+                    self.tell_news(job, JobUpdate::CutOff { server, address });
                     continue;
                 }
                 JobEvent::ResultsDropped(job, stage) => {
-                    self.tell_news(job, JobNews::Dropped(stage));
+                    self.tell_news(job, JobUpdate::Dropped(stage));
                     continue;
                 }
                 JobEvent::Done(job, handles, times) => {
                     self.log_done(job, &times);
-                    (job, JobAnswer::Done(handles))
+                    (job, JobOutcome::Done(handles))
                 }
                 JobEvent::Failed(job, failure) => {
                     self.log_given_up(job, failure);
-                    (job, JobAnswer::Failed(failure))
+                    (job, JobOutcome::Failed(failure))
                 }
             };
             if let Some(waiting) = self.waiting.remove(&job) {
-                let _ = waiting.news.send(JobNews::Ended(answer));
+                let _ = waiting.updates.send(JobUpdate::Ended(answer));
             }
         }
     }
 
-    fn tell_news(&self, job: JobId, news: JobNews) {
+    fn tell_news(&self, job: JobId, news: JobUpdate) {
         if let Some(waiting) = self.waiting.get(&job) {
-            let _ = waiting.news.send(news);
+            let _ = waiting.updates.send(news);
         }
     }
 
@@ -392,8 +392,8 @@
     }
 }
 
-fn refusal(refused: JobRefusal) -> JobAnswer {
-    JobAnswer::Refused {
+fn refusal(refused: JobRefusal) -> JobOutcome {
+    JobOutcome::Refused {
         retry_after_ms: ms(refused.retry_after),
         reason: refused.reason,
     }
--- a/crates/amaranthscale/src/gateway/process/batch_owner_handle.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_owner_handle.rs
@@ -5,7 +5,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use super::{BatchOwnerMessage, JobNews, JobSource, Submission};
+use super::{BatchOwnerMessage, JobSource, JobUpdate, Submission};
 
 /// The owner of the batches, as requests and peers see it.
 #[derive(Debug, Clone)]
@@ -28,16 +28,19 @@
 pub struct RunningJob {
     /// Keeps it; none if it was not taken.
     pub owned: Option<OwnedJob>,
-    /// The end of this without [`JobNews::Ended`] means that the owner is about to stop.
-    pub news: mpsc::UnboundedReceiver<JobNews>,
+    /// The end of this without [`JobUpdate::Ended`] means that the owner is about to stop.
+    pub updates: mpsc::UnboundedReceiver<JobUpdate>,
 }
 
 impl RunningJob {
     /// No job: the owner is about to stop.
     #[must_use]
     pub fn none() -> Self {
-        let (_sender, news) = mpsc::unbounded_channel();
-        Self { owned: None, news }
+        let (_sender, updates) = mpsc::unbounded_channel();
+        Self {
+            owned: None,
+            updates,
+        }
     }
 }
 
@@ -58,13 +61,13 @@
     }
 
     /// Has a request's pieces made; the results are kept until the job is dropped.
-    pub async fn run(&self, order: JobSpec, source: JobSource) -> RunningJob {
+    pub async fn submit(&self, order: JobSpec, source: JobSource) -> RunningJob {
         let (id, job) = oneshot::channel();
-        let (sender, news) = mpsc::unbounded_channel();
+        let (sender, updates) = mpsc::unbounded_channel();
         let submit = BatchOwnerMessage::Submit(Submission {
             order,
             id,
-            news: sender,
+            updates: sender,
             source,
             arrived: Instant::now(),
         });
@@ -75,7 +78,7 @@
             job,
             actor: self.actor.clone(),
         });
-        RunningJob { owned, news }
+        RunningJob { owned, updates }
     }
 
     /// Tells the owner of a change, or to stop.
--- a/crates/amaranthscale/src/gateway/process/batch_owners.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_owners.rs
@@ -41,9 +41,9 @@
     }
 
     /// Has a request's pieces made by its cell; the results are kept until the job is dropped.
-    pub async fn run(&self, order: JobSpec, source: JobSource) -> RunningJob {
+    pub async fn submit(&self, order: JobSpec, source: JobSource) -> RunningJob {
         match self.owner(order.cell, source).await {
-            Some(owner) => owner.run(order, source).await,
+            Some(owner) => owner.submit(order, source).await,
             None => RunningJob::none(),
         }
     }
--- a/crates/amaranthscale/src/gateway/process/crash_watch.rs
+++ b/crates/amaranthscale/src/gateway/process/crash_watch.rs
@@ -16,8 +16,8 @@
 use log::{info, warn};
 use tokio::sync::{Notify, watch};
 
-use super::super::StoreCalls;
-use super::super::version::Knowledge;
+use super::super::StoreApi;
+use super::super::version::ClusterView;
 use super::super::{Clock, RequestContent};
 use super::SingleRun;
 use crate::connection::{PortState, probe_port};
@@ -37,9 +37,9 @@
 pub struct CrashWatch {
     instance: InstanceId,
     clock: Clock,
-    knowledge: Arc<Knowledge>,
+    cluster_view: Arc<ClusterView>,
     counters: Arc<Counters>,
-    store: StoreCalls,
+    store: StoreApi,
     state: Mutex<State>,
     to_tell: Notify,
     changes: watch::Sender<u64>,
@@ -64,14 +64,14 @@
     pub fn new(
         instance: InstanceId,
         clock: Clock,
-        knowledge: Arc<Knowledge>,
+        cluster_view: Arc<ClusterView>,
         counters: Arc<Counters>,
-        store: StoreCalls,
+        store: StoreApi,
     ) -> Self {
         Self {
             instance,
             clock,
-            knowledge,
+            cluster_view,
             counters,
             store,
             state: Mutex::default(),
@@ -140,7 +140,7 @@
     }
 
     /// How the store is called.
-    pub(super) const fn store(&self) -> &StoreCalls {
+    pub(super) const fn store(&self) -> &StoreApi {
         &self.store
     }
 
@@ -226,7 +226,7 @@
 
     /// Takes servers for crashed that lost runs and are listed no more.
     pub(crate) fn servers_changed(&self) {
-        let servers = self.knowledge.servers();
+        let servers = self.cluster_view.servers();
         let is_listed = |life: &ServerIncarnation| servers.is_listed(life);
         let missing = self.state().lost.unlisted(is_listed);
         for server in missing {
--- a/crates/amaranthscale/src/gateway/process/kept_pieces.rs
+++ b/crates/amaranthscale/src/gateway/process/kept_pieces.rs
@@ -6,7 +6,7 @@
 use amaranthscale_core::process::RetainedResult;
 use tokio::time::Instant;
 
-use super::JobNews;
+use super::JobUpdate;
 
 /// Results that are kept for a request, for the next owner if this one ends.
 #[derive(Debug, Default)]
@@ -16,17 +16,17 @@
 
 impl KeptPieces {
     /// Takes what an owner tells, and marks that it has begun.
-    pub(super) fn note(&mut self, news: JobNews, has_begun: &AtomicBool) {
+    pub(super) fn note(&mut self, news: JobUpdate, has_begun: &AtomicBool) {
         match news {
-            JobNews::Made(pieces) => {
+            JobUpdate::Made(pieces) => {
                 has_begun.store(true, Ordering::Relaxed);
                 let now = Instant::now();
                 let pieces = pieces.into_iter();
                 self.pieces
                     .extend(pieces.map(|piece| ((piece.stage, piece.piece), (piece, now))));
             }
-            JobNews::Dropped(stage) => self.pieces.retain(|(of, _), _| *of != stage),
-            JobNews::CutOff { .. } | JobNews::Ended(_) => {}
+            JobUpdate::Dropped(stage) => self.pieces.retain(|(of, _), _| *of != stage),
+            JobUpdate::CutOff { .. } | JobUpdate::Ended(_) => {}
         }
     }
 
--- a/crates/amaranthscale/src/gateway/process/limit_watch.rs
+++ b/crates/amaranthscale/src/gateway/process/limit_tracker.rs
@@ -9,27 +9,27 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use super::super::version::Knowledge;
+use super::super::version::ClusterView;
 use super::super::{Clock, Dialect};
 use crate::process::Counters;
 
 /// The limits that servers have named, and what of them is still to be told.
 #[derive(Debug)]
-pub struct LimitWatch {
+pub struct LimitTracker {
     clock: Clock,
-    knowledge: Arc<Knowledge>,
+    cluster_view: Arc<ClusterView>,
     counters: Arc<Counters>,
     words: Mutex<ReportedLimits>,
     to_tell: Notify,
 }
 
-impl LimitWatch {
+impl LimitTracker {
     /// A watch that has heard of no limit.
     #[must_use]
-    pub fn new(clock: Clock, knowledge: Arc<Knowledge>, counters: Arc<Counters>) -> Self {
+    pub fn new(clock: Clock, cluster_view: Arc<ClusterView>, counters: Arc<Counters>) -> Self {
         Self {
             clock,
-            knowledge,
+            cluster_view,
             counters,
             words: Mutex::default(),
             to_tell: Notify::new(),
@@ -51,7 +51,7 @@
             return;
         }
         let has_run = !(dialect.did_not_run)(head.status, &head.headers);
-        let limit = match (dialect.named_limit)(&head.headers).transpose() {
+        let limit = match (dialect.reported_limit)(&head.headers).transpose() {
             Ok(limit) => limit,
             Err(error) => {
                 self.counters.count("limits.invalid");
@@ -115,7 +115,7 @@
 
     /// Forgets servers that are gone; names those of which the store still says something.
     pub(super) fn forget_gone(&self) -> Vec<ServerIncarnation> {
-        let servers = self.knowledge.servers();
+        let servers = self.cluster_view.servers();
         self.words()
             .remove_unlisted(|server| servers.is_listed(server))
     }
@@ -126,7 +126,7 @@
     }
 
     fn changed(&self, server: &ServerIncarnation, limit: Option<ServerLimit>, by: &'static str) {
-        self.knowledge
+        self.cluster_view
             .change_servers(|servers, _now| servers.set_limit(server, limit));
         if let Some(limit) = limit {
             self.counters.count_reason("limits.named", by);
--- a/crates/amaranthscale/src/gateway/process/parts.rs
+++ b/crates/amaranthscale/src/gateway/process/parts.rs
@@ -6,10 +6,10 @@
 use amaranthscale_core::process::{ConnectionShare, ServerSelector};
 
 use super::super::Dialect;
-use super::super::connection::ServerPool;
-use super::super::version::{HandedOn, Knowledge};
+use super::super::connection::ConnectionPool;
+use super::super::version::{ClusterView, HandedOn};
 use super::{
-    BatchOwners, BoundedServers, Budgets, CrashWatch, LimitWatch, ServicePromptTimes, StopGate,
+    BatchOwners, BoundedServers, Budgets, CrashWatch, LimitTracker, ServicePromptTimes, StopGate,
 };
 use crate::connection::PeerClient;
 use crate::process::{Counters, Latencies};
@@ -22,9 +22,9 @@
     /// Availability zone of the gateway.
     pub zone: ZoneId,
     /// Routing, servers and gateways.
-    pub knowledge: Arc<Knowledge>,
+    pub cluster_view: Arc<ClusterView>,
     /// Kept connections to servers.
-    pub pool: Arc<ServerPool>,
+    pub pool: Arc<ConnectionPool>,
     /// How callers and servers speak.
     pub dialect: Arc<Dialect>,
     /// Repeats that are left.
@@ -34,7 +34,7 @@
     /// Sends to servers that all gateways together may send so much.
     pub bounded: BoundedServers,
     /// What servers say of their limits.
-    pub limits: Arc<LimitWatch>,
+    pub limits: Arc<LimitTracker>,
     /// The owners of batches in this process.
     pub batches: Arc<BatchOwners>,
     /// Connections to other gateways.
@@ -62,8 +62,10 @@
 impl GatewayParts {
     /// Takes one repeat at a service from the budget that all gateways share, and counts it.
     pub fn try_repeat(&self, service: &ServiceId) -> bool {
-        let now = self.knowledge.clock().now();
-        let is_left = self.budgets.try_repeat(service, self.knowledge.live(), now);
+        let now = self.cluster_view.clock().now();
+        let is_left = self
+            .budgets
+            .try_repeat(service, self.cluster_view.live(), now);
         let name = if is_left {
             "repeat.sent"
         } else {
@@ -75,12 +77,12 @@
 
     /// This gateway's share of the connections that a service's servers take.
     pub fn connection_share(&self, service: &ServiceId) -> ConnectionShare {
-        let routing = self.knowledge.routing();
+        let routing = self.cluster_view.routing();
         let pool = routing.as_ref().and_then(|routing| routing.pool(service));
         pool.map_or(ConnectionShare::UNLIMITED, |pool| {
-            let servers = self.knowledge.servers();
+            let servers = self.cluster_view.servers();
             let servers = servers.usable(service).count();
-            ConnectionShare::of(pool.max_connections, servers, self.knowledge.live())
+            ConnectionShare::of(pool.max_connections, servers, self.cluster_view.live())
         })
     }
 
--- a/crates/amaranthscale/src/gateway/process/peer_pieces.rs
+++ b/crates/amaranthscale/src/gateway/process/peer_pieces.rs
@@ -19,7 +19,7 @@
 use quick_error::quick_error;
 
 use super::peer_message::{read_message, status};
-use super::{BatchOwners, JobAnswer, JobNews, JobSource, RunningJob};
+use super::{BatchOwners, JobOutcome, JobSource, JobUpdate, RunningJob};
 use crate::connection::{PeerClient, PeerError, ResponseBody};
 
 /// Start of the path of a request that carries a job; the owner's name follows.
@@ -60,8 +60,8 @@
     owner: &InstanceId,
     address: SocketAddr,
     order: &JobSpec,
-    note: impl FnMut(JobNews),
-) -> Result<(JobAnswer, Incoming), AskError> {
+    note: impl FnMut(JobUpdate),
+) -> Result<(JobOutcome, Incoming), AskError> {
     let path = format!("{PIECES_PATH}{owner}");
     let encoded =
         rmp_serde::to_vec_named(order).map_err(|error| AskError::NotReached(error.to_string()))?;
@@ -83,13 +83,13 @@
 
 async fn read_answer(
     body: &mut Incoming,
-    mut note: impl FnMut(JobNews),
-) -> Result<JobAnswer, AskError> {
+    mut note: impl FnMut(JobUpdate),
+) -> Result<JobOutcome, AskError> {
     let mut read = BytesMut::new();
     loop {
         while let Some(news) = next_news(&mut read).map_err(AskError::Lost)? {
             match news {
-                JobNews::Ended(answer) => return Ok(answer),
+                JobUpdate::Ended(answer) => return Ok(answer),
                 news => note(news),
             }
         }
@@ -109,7 +109,7 @@
 }
 
 /// Takes the next whole piece of news off what was read.
-fn next_news(read: &mut BytesMut) -> Result<Option<JobNews>, String> {
+fn next_news(read: &mut BytesMut) -> Result<Option<JobUpdate>, String> {
     if read.len() < LENGTH_BYTES {
         return Ok(None);
     }
@@ -126,7 +126,7 @@
     Ok(Some(news))
 }
 
-fn encoded(news: &JobNews) -> Bytes {
+fn encoded(news: &JobUpdate) -> Bytes {
     // Numbers, texts and lists of them always have an encoding.
     let content = rmp_serde::to_vec_named(news).unwrap_or_default();
     let length = u32::try_from(content.len()).unwrap_or(u32::MAX);
@@ -154,7 +154,7 @@
             return status(StatusCode::BAD_REQUEST);
         }
     };
-    let job = batches.run(order, JobSource::Peer).await;
+    let job = batches.submit(order, JobSource::Peer).await;
     let body = NewsBody {
         job,
         has_ended: false,
@@ -177,12 +177,12 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
         if !self.has_ended {
-            let Poll::Ready(news) = self.job.news.poll_recv(context) else {
+            let Poll::Ready(news) = self.job.updates.poll_recv(context) else {
                 return Poll::Pending;
             };
             // An owner that tells nothing more is about to stop.
-            let news = news.unwrap_or(JobNews::Ended(JobAnswer::Stopping));
-            self.has_ended = matches!(news, JobNews::Ended(_));
+            let news = news.unwrap_or(JobUpdate::Ended(JobOutcome::Stopping));
+            self.has_ended = matches!(news, JobUpdate::Ended(_));
             return Poll::Ready(Some(Ok(Frame::data(encoded(&news)))));
         }
         if self.job.owned.is_none() {
--- a/crates/amaranthscale/src/gateway/process/pieces.rs
+++ b/crates/amaranthscale/src/gateway/process/pieces.rs
@@ -14,7 +14,7 @@
 use super::super::RequestContent;
 use super::kept_pieces::KeptPieces;
 use super::peer_pieces::{AskError, ask_peer};
-use super::{GatewayParts, JobAnswer, JobNews, JobSource, OwnedJob};
+use super::{GatewayParts, JobOutcome, JobSource, JobUpdate, OwnedJob};
 
 /// Times that one request is given to an owner, the same or the next one.
 const MOST_ASKED: usize = 4;
@@ -96,9 +96,9 @@
         order.retained = kept.now();
         order.target_latency_left = aim_left.saturating_sub(started.elapsed());
         order.deadline_left = deadline_left.saturating_sub(started.elapsed());
-        let (owner, address, is_own) = parts.knowledge.owner(order.cell);
+        let (owner, address, is_own) = parts.cluster_view.owner(order.cell);
         let note = |news| {
-            if let JobNews::CutOff { server, address } = &news {
+            if let JobUpdate::CutOff { server, address } = &news {
                 parts.crashes.lost(server, *address, content);
             }
             kept.note(news, has_begun);
@@ -111,21 +111,21 @@
                 .map(|(answer, body)| (answer, Kept::Peer { _answer: body }))
         };
         match answered {
-            Ok((JobAnswer::Stopping, _)) => parts.knowledge.silent(&owner),
+            Ok((JobOutcome::Stopping, _)) => parts.cluster_view.silent(&owner),
             // Its processor may be too slow for it, as on a machine that others use up: the next
             // one has as good servers before it. Only a gateway's own owner is nobody's to pass over.
             Ok((
-                JobAnswer::Refused {
+                JobOutcome::Refused {
                     reason: JobFailure::Overloaded,
                     ..
                 },
                 _,
             )) if !is_own => {
                 parts.counters.count("owner.passed-over");
-                parts.knowledge.silent(&owner);
+                parts.cluster_view.silent(&owner);
             }
             Ok((answer, kept)) => {
-                parts.knowledge.heard(&owner);
+                parts.cluster_view.heard(&owner);
                 return outcome(owner, answer, kept);
             }
             Err(error) => {
@@ -138,7 +138,7 @@
                 // would get a second one beside it. It is asked once more on a new connection.
                 let is_first = lost_by.as_ref() != Some(&owner);
                 if !(is_first && matches!(error, AskError::Lost(_))) {
-                    parts.knowledge.silent(&owner);
+                    parts.cluster_view.silent(&owner);
                 }
                 lost_by = Some(owner);
             }
@@ -150,33 +150,33 @@
 async fn ask_here(
     parts: &GatewayParts,
     order: &JobSpec,
-    mut note: impl FnMut(JobNews),
-) -> (JobAnswer, Kept) {
-    let mut job = parts.batches.run(order.clone(), JobSource::Here).await;
-    while let Some(news) = job.news.recv().await {
+    mut note: impl FnMut(JobUpdate),
+) -> (JobOutcome, Kept) {
+    let mut job = parts.batches.submit(order.clone(), JobSource::Local).await;
+    while let Some(news) = job.updates.recv().await {
         match news {
-            JobNews::Ended(answer) => return (answer, Kept::Here { _job: job.owned }),
+            JobUpdate::Ended(answer) => return (answer, Kept::Here { _job: job.owned }),
             news => note(news),
         }
     }
-    (JobAnswer::Stopping, Kept::Here { _job: None })
+    (JobOutcome::Stopping, Kept::Here { _job: None })
 }
 
-fn outcome(owner: InstanceId, answer: JobAnswer, kept: Kept) -> Result<MadePieces, PiecesError> {
+fn outcome(owner: InstanceId, answer: JobOutcome, kept: Kept) -> Result<MadePieces, PiecesError> {
     match answer {
-        JobAnswer::Done(handles) => Ok(MadePieces {
+        JobOutcome::Done(handles) => Ok(MadePieces {
             handles,
             owner,
             _kept: kept,
         }),
-        JobAnswer::Refused {
+        JobOutcome::Refused {
             retry_after_ms,
             reason,
         } => Err(PiecesError::Refused(
             Duration::from_millis(retry_after_ms),
             reason,
         )),
-        JobAnswer::Failed(reason) => Err(PiecesError::Failed(reason)),
-        JobAnswer::Stopping => Err(PiecesError::Refused(NO_OWNER_RETRY, JobFailure::Failing)),
+        JobOutcome::Failed(reason) => Err(PiecesError::Failed(reason)),
+        JobOutcome::Stopping => Err(PiecesError::Refused(NO_OWNER_RETRY, JobFailure::Failing)),
     }
 }
--- a/crates/amaranthscale/src/gateway/process/server_uses.rs
+++ b/crates/amaranthscale/src/gateway/process/server_uses.rs
@@ -32,8 +32,8 @@
             Duration,
         ) -> Option<&'a ServerRecord>,
     ) -> Option<(ServerRecord, LoadSnapshot)> {
-        let servers = self.knowledge.servers();
-        let now = self.knowledge.clock().now();
+        let servers = self.cluster_view.servers();
+        let now = self.cluster_view.clock().now();
         let usable = self.usable(&servers, service, now);
         let choice = self.choice();
         let chosen = pick(&choice, usable, now)?.clone();
@@ -90,8 +90,8 @@
     /// Guards against what happens between a choice and its send: pieces take most of a second, a
     /// connection some hundred milliseconds, and a frozen process wakes with all its choices made.
     pub fn try_send_to(&self, server: &ServerRecord) -> Result<(), ServerAvailability> {
-        let servers = self.knowledge.servers();
-        let now = self.knowledge.clock().now();
+        let servers = self.cluster_view.servers();
+        let now = self.cluster_view.clock().now();
         let terms = self.cold_terms(&server.service);
         let server_use = servers.availability(&server.incarnation, terms, now);
         let may_send = if let Some(bound) = server_use.rate_limit() {
@@ -113,8 +113,8 @@
 
     /// Why no server of a service can be chosen now.
     pub fn none_usable(&self, service: &ServiceId) -> NoneUsable {
-        let servers = self.knowledge.servers();
-        let now = self.knowledge.clock().now();
+        let servers = self.cluster_view.servers();
+        let now = self.cluster_view.clock().now();
         let terms = self.cold_terms(service);
         let staying = servers.not_leaving(service);
         let uses: Vec<_> = staying
@@ -145,7 +145,7 @@
 
     /// What holds of a service's cold servers.
     fn cold_terms(&self, service: &ServiceId) -> Option<ColdLimits> {
-        let routing = self.knowledge.routing()?;
+        let routing = self.cluster_view.routing()?;
         routing.cold_terms(service, self.bounded.bounds())
     }
 
@@ -155,7 +155,7 @@
         service: &ServiceId,
         bound: SendRateLimit,
     ) -> ShareBasis {
-        let (own, gateways) = self.knowledge.announced();
+        let (own, gateways) = self.cluster_view.announced();
         ShareBasis {
             bound,
             servers: servers.not_leaving(service).count(),
--- a/crates/amaranthscale/src/gateway/process/single_run.rs
+++ b/crates/amaranthscale/src/gateway/process/single_run.rs
@@ -39,7 +39,7 @@
         let mut evidence = CrashEvidence::default();
         evidence.add_crash(&stand_in(watch.instance())?, request);
         watch.claiming(&id);
-        let claim = (watch.store().tell_first)(&id, &evidence);
+        let claim = (watch.store().publish_evidence_if_absent)(&id, &evidence);
         let mut run = Self {
             id,
             watch,
@@ -76,10 +76,10 @@
         tokio::spawn(async move {
             tokio::time::sleep(kept).await;
             let store = watch.store();
-            let take_back = || (store.take_back)(&id);
+            let remove_evidence = || (store.remove_evidence)(&id);
             let failed =
                 |reason: &str| warn!(evidence:% = id, reason; "quarantine: evidence not removed");
-            write_store_until_taken(store, take_back, RETRY_PAUSE, failed).await;
+            write_store_until_taken(store, remove_evidence, RETRY_PAUSE, failed).await;
             watch.released(&id);
         });
     }
--- a/crates/amaranthscale/src/gateway/process/tell_limits.rs
+++ b/crates/amaranthscale/src/gateway/process/tell_limits.rs
@@ -7,7 +7,7 @@
 use amaranthscale_core::process::{Cell, ServerLimit};
 use log::{info, warn};
 
-use super::super::StoreCalls;
+use super::super::StoreApi;
 use super::super::version::write_store;
 use super::GatewayParts;
 
@@ -20,10 +20,10 @@
 const CLEAN_UP: Duration = Duration::from_secs(20);
 
 /// Tells words for good, each until the store has taken it or says the same.
-pub async fn tell_limits(parts: Arc<GatewayParts>, store: StoreCalls) {
+pub async fn tell_limits(parts: Arc<GatewayParts>, store: StoreApi) {
     loop {
         parts.limits.to_tell().await;
-        let gateways = u32::try_from(parts.knowledge.live()).unwrap_or(u32::MAX);
+        let gateways = u32::try_from(parts.cluster_view.live()).unwrap_or(u32::MAX);
         let spread = SPREAD_EACH.saturating_mul(gateways);
         tokio::time::sleep(spread.mul_f64(rand::random_range(0.0..1.0))).await;
         for (server, limit) in parts.limits.untold() {
@@ -35,13 +35,13 @@
 
 async fn tell(
     parts: &GatewayParts,
-    store: &StoreCalls,
+    store: &StoreApi,
     server: &ServerIncarnation,
     limit: Option<ServerLimit>,
 ) {
     let request = match limit {
-        Some(limit) => (store.tell_limit)(server, limit),
-        None => (store.end_limit)(server),
+        Some(limit) => (store.publish_limit)(server, limit),
+        None => (store.remove_limit)(server),
     };
     match write_store(store, request).await {
         Ok(()) => {
@@ -57,16 +57,16 @@
 }
 
 /// Forgets the limits of servers that are gone; their rows are removed by the gateway that acts for all.
-pub async fn forget_limits(parts: Arc<GatewayParts>, store: StoreCalls) {
+pub async fn forget_limits(parts: Arc<GatewayParts>, store: StoreApi) {
     loop {
         tokio::time::sleep(CLEAN_UP).await;
         let gone = parts.limits.forget_gone();
-        let (.., is_own) = parts.knowledge.owner(Cell::SINGLE);
+        let (.., is_own) = parts.cluster_view.owner(Cell::SINGLE);
         if !is_own {
             continue;
         }
         for server in gone {
-            if let Err(reason) = write_store(&store, (store.end_limit)(&server)).await {
+            if let Err(reason) = write_store(&store, (store.remove_limit)(&server)).await {
                 info!(server:% = server, reason = reason.as_str(); "servers: limit not removed");
             }
         }
--- a/crates/amaranthscale/src/gateway/process/tend_silent.rs
+++ b/crates/amaranthscale/src/gateway/process/tend_silent.rs
@@ -6,7 +6,7 @@
 
 use log::info;
 
-use super::super::StoreCalls;
+use super::super::StoreApi;
 use super::super::version::withdraw_instance;
 use super::{GatewayParts, ask_alive};
 
@@ -21,11 +21,11 @@
 ///
 /// Guards against a gateway that stays silent for long: without a question of its own, each time
 /// that it is tried again the requests of that moment would wait for it in vain, for a second or so.
-pub async fn tend_silent(parts: Arc<GatewayParts>, store: StoreCalls) {
+pub async fn tend_silent(parts: Arc<GatewayParts>, store: StoreApi) {
     let mut removed = BTreeSet::new();
     loop {
-        parts.knowledge.silence().await;
-        let displaced = parts.knowledge.displaced().into_iter();
+        parts.cluster_view.silence().await;
+        let displaced = parts.cluster_view.displaced().into_iter();
         let displaced: Vec<_> = displaced.filter(|id| !removed.contains(id)).collect();
         let is_cut_off = !displaced.is_empty() && !reaches_another(&parts).await;
         if is_cut_off {
@@ -39,15 +39,15 @@
             }
         }
         tokio::time::sleep(ASK_SILENT).await;
-        for (id, address) in parts.knowledge.passed_over() {
+        for (id, address) in parts.cluster_view.passed_over() {
             let parts = Arc::clone(&parts);
             tokio::spawn(async move {
                 if ask_alive(&parts.peers, &id, address).await {
                     info!(instance = id.as_str(); "membership: answers again");
-                    parts.knowledge.heard(&id);
+                    parts.cluster_view.heard(&id);
                 } else {
                     // Also lets the loop go on for as long as it stays silent.
-                    parts.knowledge.silent(&id);
+                    parts.cluster_view.silent(&id);
                 }
             });
         }
@@ -59,7 +59,7 @@
 /// Guards against a gateway that is cut off itself, but not from the store: to it all others look
 /// silent, and it would have the one that owns the batches of all others displaced.
 async fn reaches_another(parts: &GatewayParts) -> bool {
-    let others = parts.knowledge.others();
+    let others = parts.cluster_view.others();
     for (id, address) in others.iter().take(MOST_WITNESSES) {
         if ask_alive(&parts.peers, id, *address).await {
             return true;
--- a/crates/amaranthscale/src/gateway/request/caller.rs
+++ b/crates/amaranthscale/src/gateway/request/caller.rs
@@ -16,7 +16,7 @@
 
 use super::super::clock::ms;
 use super::super::process::{GatewayParts, OpenRequest, SingleRun};
-use super::super::{CallerWork, RequestContent};
+use super::super::{RequestAttributes, RequestContent};
 use super::answer::AnswerBody;
 use super::engine_run::run_engine;
 use super::outgoing::Outgoing;
@@ -31,7 +31,7 @@
 #[derive(Debug)]
 pub(super) struct Admitted {
     pub(super) route: Arc<Route>,
-    pub(super) work: CallerWork,
+    pub(super) work: RequestAttributes,
     pub(super) content: RequestContent,
     /// The claim on its run, where it may be sent to one server at a time only.
     pub(super) single_run: OnceLock<SingleRun>,
@@ -160,7 +160,7 @@
 fn log_refusal(parts: &GatewayParts, head: &request::Parts, refused: Refused, arrived: Instant) {
     let call = call_name(parts, head);
     let version = parts
-        .knowledge
+        .cluster_view
         .routing()
         .map_or(0, |routing| routing.version().get());
     info!(
@@ -177,19 +177,19 @@
     arrived: Instant,
     open: OpenRequest,
 ) -> Result<Response<AnswerBody>, Refused> {
-    let routing = parts.knowledge.routing();
+    let routing = parts.cluster_view.routing();
     let routing = routing.ok_or(Refused::new(ResultCode::NotReady))?;
-    if parts.knowledge.is_behind(parts.behind_after) {
+    if parts.cluster_view.is_behind(parts.behind_after) {
         return Err(Refused::new(ResultCode::RoutingBehind));
     }
     let route = find_route(&routing, head)?;
     let holder = check_key(parts, &routing, &route, head)?;
-    let work = (parts.dialect.caller_work)(&head.headers).map_err(|error| {
+    let work = (parts.dialect.parse_request_attributes)(&head.headers).map_err(|error| {
         info!(reason:% = error; "request: head refused");
         Refused::new(ResultCode::MalformedRequest)
     })?;
-    let patience = work.patience.unwrap_or(route.timeout).min(route.timeout);
-    let until = arrived + patience;
+    let timeout = work.timeout.unwrap_or(route.timeout).min(route.timeout);
+    let until = arrived + timeout;
     let body = read_whole(&routing, body, until).await?;
     let service = route.service_for(&work.call).cloned();
     let service = service.ok_or(Refused::new(ResultCode::NoBackendServer))?;
@@ -209,7 +209,7 @@
         arrived,
         until,
     };
-    let now = parts.knowledge.clock().now();
+    let now = parts.cluster_view.clock().now();
     parts.budgets.request(&service, now);
     if admitted.route.kind.is_streaming() {
         run_engine(parts, admitted, service, outgoing, open).await
@@ -242,7 +242,11 @@
     if route.is_public || !routing.requires_keys() {
         return Ok(None);
     }
-    if parts.knowledge.age().is_none_or(|age| age > parts.key_age) {
+    if parts
+        .cluster_view
+        .age()
+        .is_none_or(|age| age > parts.key_age)
+    {
         return Err(Refused::new(ResultCode::KnowledgeStale));
     }
     let key = head.headers.get(&parts.dialect.headers.key);
@@ -260,8 +264,8 @@
     if told > u64::try_from(max_bytes).unwrap_or(u64::MAX) {
         return Err(Refused::new(ResultCode::BodyTooLarge).closing());
     }
-    let patience = until.saturating_duration_since(Instant::now());
-    read_body(body, max_bytes, patience).await.map_err(|error| {
+    let timeout = until.saturating_duration_since(Instant::now());
+    read_body(body, max_bytes, timeout).await.map_err(|error| {
         let code = match error {
             ReadBodyError::TooLarge(_) => ResultCode::BodyTooLarge,
             ReadBodyError::TimedOut(..) => ResultCode::SlowCaller,
--- a/crates/amaranthscale/src/gateway/request/engine_run.rs
+++ b/crates/amaranthscale/src/gateway/request/engine_run.rs
@@ -234,7 +234,7 @@
     fn choose(&mut self) -> Option<ServerRecord> {
         let (id, zone) = (&self.parts.instance, &self.parts.zone);
         let entry = SendingEntry::new(id, zone, ConnectionShare::UNLIMITED);
-        let part = self.admitted.work.shared_part.as_deref();
+        let part = self.admitted.work.shared_prefix.as_deref();
         let chosen = self
             .parts
             .choose(&self.service, |choice, usable, now| match part {
@@ -258,7 +258,7 @@
             let order = JobSpec {
                 call: self.admitted.work.call.clone(),
                 route: route.id.clone(),
-                cell: self.parts.knowledge.cell_of(&self.admitted.work.call),
+                cell: self.parts.cluster_view.cell_of(&self.admitted.work.call),
                 piece_key: self.admitted.work.piece_key.clone(),
                 stages,
                 rank: self.admitted.rank,
--- a/crates/amaranthscale/src/gateway/request/outgoing.rs
+++ b/crates/amaranthscale/src/gateway/request/outgoing.rs
@@ -42,7 +42,7 @@
             !own.contains(&name) && !names.reserved.contains(name)
         });
         // A caller may list any header as one of its connection's; these must get through.
-        for name in names.kept.iter().chain([&names.call]) {
+        for name in names.always_forwarded.iter().chain([&names.call]) {
             if !headers.contains_key(name)
                 && let Some(value) = head.headers.get(name)
             {
--- a/crates/amaranthscale/src/gateway/request/send.rs
+++ b/crates/amaranthscale/src/gateway/request/send.rs
@@ -95,7 +95,7 @@
 
 impl Drop for Sent {
     fn drop(&mut self) {
-        let now = self.parts.knowledge.clock().now();
+        let now = self.parts.cluster_view.clock().now();
         let elapsed = self.started.elapsed();
         let change = self
             .parts
@@ -158,8 +158,8 @@
     };
     let (head, body) = response.into_parts();
     let dialect = &parts.dialect;
-    if let Some(load) = (dialect.told_load)(&head.headers) {
-        let now = parts.knowledge.clock().now();
+    if let Some(load) = (dialect.reported_load)(&head.headers) {
+        let now = parts.cluster_view.clock().now();
         parts.choice().record_load(&server.incarnation, load, now);
     }
     if !is_own(parts, call, &head) {
--- a/crates/amaranthscale/src/gateway/store_calls.rs
+++ b/crates/amaranthscale/src/gateway/store_api.rs
@@ -102,14 +102,14 @@
 }
 
 /// Evidence of crashed servers by its name; none where it was removed.
-pub type ToldEvidence = (EvidenceId, Option<CrashEvidence>);
+pub type EvidenceUpdate = (EvidenceId, Option<CrashEvidence>);
 
 /// The limit that a server has named; none where the word was removed.
-pub type ToldLimit = (ServerIncarnation, Option<ServerLimit>);
+pub type LimitUpdate = (ServerIncarnation, Option<ServerLimit>);
 
 /// How one platform's store is called.
 #[derive(Debug, Clone)]
-pub struct StoreCalls {
+pub struct StoreApi {
     /// Where the store listens.
     pub address: SocketAddr,
     /// Reads a table, from after a key on.
@@ -121,30 +121,30 @@
     /// Withdraws an announcement.
     pub withdraw: fn(&InstanceId) -> Request<Full<Bytes>>,
     /// Tells of crashed servers.
-    pub tell: fn(&EvidenceId, &CrashEvidence) -> Request<Full<Bytes>>,
+    pub publish_evidence: fn(&EvidenceId, &CrashEvidence) -> Request<Full<Bytes>>,
     /// Tells the same, if nothing is told under that name.
-    pub tell_first: fn(&EvidenceId, &CrashEvidence) -> Request<Full<Bytes>>,
+    pub publish_evidence_if_absent: fn(&EvidenceId, &CrashEvidence) -> Request<Full<Bytes>>,
     /// Removes what was told.
-    pub take_back: fn(&EvidenceId) -> Request<Full<Bytes>>,
+    pub remove_evidence: fn(&EvidenceId) -> Request<Full<Bytes>>,
     /// Tells of a server's limit.
-    pub tell_limit: fn(&ServerIncarnation, ServerLimit) -> Request<Full<Bytes>>,
+    pub publish_limit: fn(&ServerIncarnation, ServerLimit) -> Request<Full<Bytes>>,
     /// Removes what was told of it.
-    pub end_limit: fn(&ServerIncarnation) -> Request<Full<Bytes>>,
+    pub remove_limit: fn(&ServerIncarnation) -> Request<Full<Bytes>>,
     /// Reads an answer.
-    pub answer: fn(StatusCode, &[u8]) -> Result<StoreAnswer, String>,
+    pub parse_answer: fn(StatusCode, &[u8]) -> Result<StoreAnswer, String>,
     /// Reads the routing from its row; none if the row is another one.
-    pub routing: fn(&StoreRow) -> Result<Option<Routing>, String>,
+    pub parse_routing: fn(&StoreRow) -> Result<Option<Routing>, String>,
     /// Reads what operators say of an availability zone from a row of the routing's table; none if
     /// the row is another one.
-    pub zone: fn(&StoreRow) -> Result<Option<ZoneChange>, String>,
+    pub parse_zone_change: fn(&StoreRow) -> Result<Option<ZoneChange>, String>,
     /// Reads a backend server from its row.
-    pub server: fn(&ServerId, &[u8]) -> Result<ServerRecord, String>,
+    pub parse_server: fn(&ServerId, &[u8]) -> Result<ServerRecord, String>,
     /// Reads what a gateway tells of crashed servers from a row of the gateways' table, and nothing of
     /// it where the row was dropped; none if the row is another one.
-    pub evidence: fn(&StoreRow) -> Result<Option<ToldEvidence>, String>,
+    pub parse_evidence: fn(&StoreRow) -> Result<Option<EvidenceUpdate>, String>,
     /// Reads what a gateway tells of a server's limit from a row of the gateways' table; none if the row
     /// is another one.
-    pub limit: fn(&StoreRow) -> Result<Option<ToldLimit>, String>,
+    pub parse_limit: fn(&StoreRow) -> Result<Option<LimitUpdate>, String>,
     /// Reads what a gateway announces from its row.
-    pub instance: fn(&[u8]) -> Result<Announcement, String>,
+    pub parse_announcement: fn(&[u8]) -> Result<Announcement, String>,
 }
--- a/crates/amaranthscale/src/gateway/version.rs
+++ b/crates/amaranthscale/src/gateway/version.rs
@@ -1,12 +1,12 @@
 //! What lives as long as a version: the routing, servers and gateways as the store tells them.
 
 mod announce;
+mod cluster_view;
 mod copied_table;
 mod feed;
 mod feed_pace;
 mod follow;
 mod handed_on;
-mod knowledge;
 mod line_budget;
 mod neighbour;
 mod packed_row;
@@ -17,6 +17,8 @@
 #[doc(inline)]
 pub use announce::{announce_instance, withdraw_instance};
 #[doc(inline)]
+pub use cluster_view::ClusterView;
+#[doc(inline)]
 pub use feed::{Feed, FeedEvent};
 #[doc(inline)]
 pub use feed_pace::{FeedPace, KEY_AGE_PERCENT, READY_AGE_PERCENT};
@@ -25,8 +27,6 @@
 #[doc(inline)]
 pub use handed_on::{HandedAnswer, HandedOn, HandedRows, RowsQuestion};
 #[doc(inline)]
-pub use knowledge::Knowledge;
-#[doc(inline)]
 pub use neighbour::{Neighbours, ROWS_PATH};
 #[doc(inline)]
 pub use packed_row::{HeldRow, PackedRow, UnpackError};
--- a/crates/amaranthscale/src/gateway/version/announce.rs
+++ b/crates/amaranthscale/src/gateway/version/announce.rs
@@ -9,7 +9,7 @@
 use amaranthscale_core::id::InstanceId;
 use log::{info, warn};
 
-use super::super::StoreCalls;
+use super::super::StoreApi;
 use super::Own;
 use super::{write_store, write_store_until_taken};
 
@@ -17,7 +17,7 @@
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// Announces a gateway, again until the store has taken it.
-pub async fn announce_instance(store: StoreCalls, own: Own) {
+pub async fn announce_instance(store: StoreApi, own: Own) {
     let instance = &own.instance;
     let announce = || (store.announce)(instance, &own.announcement);
     let failed = |reason: &str| warn!(reason; "membership: not announced yet");
@@ -27,7 +27,7 @@
 }
 
 /// Withdraws an announcement; one that stays is passed over by the others.
-pub async fn withdraw_instance(store: &StoreCalls, instance: &InstanceId) {
+pub async fn withdraw_instance(store: &StoreApi, instance: &InstanceId) {
     match write_store(store, (store.withdraw)(instance)).await {
         Ok(()) => info!(instance = instance.as_str(); "membership: withdrawn"),
         Err(reason) => warn!(reason = reason.as_str(); "membership: not withdrawn"),
--- a/crates/amaranthscale/src/gateway/version/knowledge.rs
+++ b/crates/amaranthscale/src/gateway/version/cluster_view.rs
@@ -21,7 +21,7 @@
 
 /// The newest routing, servers and gateways.
 #[derive(Debug)]
-pub struct Knowledge {
+pub struct ClusterView {
     clock: Clock,
     known: Mutex<Known>,
     changes: watch::Sender<u64>,
@@ -44,7 +44,7 @@
     cells: u32,
 }
 
-impl Knowledge {
+impl ClusterView {
     /// Knows only the gateway itself.
     #[must_use]
     pub fn new(clock: Clock, instance: InstanceId, announcement: Announcement) -> Self {
--- a/crates/amaranthscale/src/gateway/version/feed.rs
+++ b/crates/amaranthscale/src/gateway/version/feed.rs
@@ -16,9 +16,9 @@
 use tokio::time::Instant;
 
 use super::super::clock::ms;
-use super::super::{StoreAnswer, StoreCalls, StoreRow, StoreRows, StoreTable};
+use super::super::{StoreAnswer, StoreApi, StoreRow, StoreRows, StoreTable};
+use super::cluster_view::SLOW_ANSWER;
 use super::feed_pace::YOUNG;
-use super::knowledge::SLOW_ANSWER;
 use super::neighbour::Neighbour;
 use super::{FeedPace, HandedRows, Neighbours, RowsQuestion};
 use crate::connection::{Http1Connection, read_body_with_idle_timeout};
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub struct Feed {
     table: StoreTable,
-    store: StoreCalls,
+    store: StoreApi,
     pace: FeedPace,
     connection: Option<Http1Connection>,
     position: Option<RowVersion>,
@@ -75,7 +75,7 @@
 impl Feed {
     /// A feed that starts with the whole table.
     #[must_use]
-    pub fn new(table: StoreTable, store: StoreCalls, pace: FeedPace) -> Self {
+    pub fn new(table: StoreTable, store: StoreApi, pace: FeedPace) -> Self {
         Self {
             table,
             store,
@@ -167,7 +167,7 @@
         let counters = Arc::clone(&neighbour.with().counters);
         let answered = asked.await;
         // Dated by the store's clock in it and by the store's own first answer.
-        self.heard_at = neighbour.with().knowledge.clock().with_suspension();
+        self.heard_at = neighbour.with().cluster_view.clock().with_suspension();
         let reason = match answered {
             Ok(HandedRows::All(rows)) if rows.clock > self.clock => {
                 counters.count("store.handed");
@@ -262,8 +262,8 @@
 
     /// Time of the clock that goes on while the machine is suspended; zero where nothing is dated.
     fn now(&self) -> Duration {
-        let knowledge = self.neighbour.as_ref().map(|one| &one.with().knowledge);
-        knowledge.map_or(Duration::ZERO, |known| known.clock().with_suspension())
+        let cluster_view = self.neighbour.as_ref().map(|one| &one.with().cluster_view);
+        cluster_view.map_or(Duration::ZERO, |known| known.clock().with_suspension())
     }
 
     /// Longest wait of the next poll.
@@ -302,7 +302,10 @@
                 && let Some(neighbour) = &self.neighbour
             {
                 let answered_at_once = heard_at.saturating_sub(asked_at) < AT_ONCE;
-                neighbour.with().knowledge.newer_has_begun(answered_at_once);
+                neighbour
+                    .with()
+                    .cluster_view
+                    .newer_has_begun(answered_at_once);
             }
         };
         let called = call_store(&self.store, connection, request, patience, begun).await;
@@ -319,7 +322,7 @@
 /// The patience is with the beginning of the answer: once it comes, it is read for as long as more of it
 /// does. An answer that is given up for its length would be begun anew by the next call, and never end.
 pub(super) async fn call_store(
-    store: &StoreCalls,
+    store: &StoreApi,
     mut connection: Http1Connection,
     request: Request<Full<Bytes>>,
     patience: Duration,
@@ -337,7 +340,7 @@
         .await
         .map_err(|error| error.to_string())?;
     let transfer = answered.elapsed();
-    let decode = store.answer;
+    let decode = store.parse_answer;
     let bytes = body.len();
     if bytes <= LONG_BYTES {
         return Ok((decode(status, &body)?, connection));
--- a/crates/amaranthscale/src/gateway/version/follow.rs
+++ b/crates/amaranthscale/src/gateway/version/follow.rs
@@ -11,24 +11,24 @@
 use tokio::time::Instant;
 
 use super::super::clock::ms;
-use super::super::process::{CrashWatch, LimitWatch, StopGate};
-use super::super::{StoreCalls, StoreRow, StoreTable, StoredValue, ToldEvidence, ToldLimit};
+use super::super::process::{CrashWatch, LimitTracker, StopGate};
+use super::super::{EvidenceUpdate, LimitUpdate, StoreApi, StoreRow, StoreTable, StoredValue};
 use super::announce::{announce_instance, withdraw_instance};
 use super::feed::LONG_BYTES;
 use super::line_budget::LineBudget;
 use super::refused_entries::RefusedEntries;
 use super::zones::{take_zones, zone_changes};
-use super::{Feed, FeedEvent, FeedPace, Knowledge, Neighbours};
+use super::{ClusterView, Feed, FeedEvent, FeedPace, Neighbours};
 use crate::process::Latencies;
 
 /// Follows the routing for good.
 pub async fn follow_routing(
-    store: StoreCalls,
+    store: StoreApi,
     neighbours: Neighbours,
     latencies: Arc<Latencies>,
     pace: FeedPace,
 ) {
-    let knowledge = Arc::clone(&neighbours.knowledge);
+    let cluster_view = Arc::clone(&neighbours.cluster_view);
     let counters = Arc::clone(&neighbours.counters);
     let mut feed = Feed::new(StoreTable::Routing, store.clone(), pace).beside(neighbours);
     let mut link = Link::new("routing");
@@ -42,19 +42,19 @@
             FeedEvent::All(rows) | FeedEvent::Changed(rows) => rows,
             FeedEvent::Lost(_) => {
                 if !was_up {
-                    knowledge.nothing_newer_is_to_be_had();
+                    cluster_view.nothing_newer_is_to_be_had();
                 }
                 continue;
             }
         };
         // Before the routing: a long one takes its time to read.
         let zones = zone_changes(&store, &rows.rows, &mut refusals);
-        let taken = take_zones(&knowledge, zones, is_whole);
+        let taken = take_zones(&cluster_view, zones, is_whole);
         counters.add("zones.changed", taken);
         for row in rows.rows {
             match read_routing(&store, row).await {
                 Ok(Some(routing)) => {
-                    if let Some(delay) = knowledge.take_routing(routing, rows.clock) {
+                    if let Some(delay) = cluster_view.take_routing(routing, rows.clock) {
                         latencies.record("routing.in-force", delay);
                     }
                 }
@@ -63,7 +63,7 @@
                 Err(reason) => warn!(reason = reason.as_str(); "routing: version refused"),
             }
         }
-        knowledge.confirm(rows.clock, feed.heard_at());
+        cluster_view.confirm(rows.clock, feed.heard_at());
     }
 }
 
@@ -71,12 +71,12 @@
 ///
 /// Guards against requests that wait behind it: a configuration of thousands of routes takes tens
 /// of milliseconds to read, and ten times that on a machine with a tenth of a core.
-async fn read_routing(store: &StoreCalls, row: StoreRow) -> Result<Option<Routing>, String> {
+async fn read_routing(store: &StoreApi, row: StoreRow) -> Result<Option<Routing>, String> {
     let bytes = match &row.value {
         StoredValue::Content(content) => content.len(),
         StoredValue::Unreadable(_) | StoredValue::Dropped => 0,
     };
-    let read = store.routing;
+    let read = store.parse_routing;
     if bytes <= LONG_BYTES {
         return read(&row);
     }
@@ -88,8 +88,8 @@
 }
 
 /// Follows the servers for good.
-pub async fn follow_servers(store: StoreCalls, neighbours: Neighbours, pace: FeedPace) {
-    let knowledge = Arc::clone(&neighbours.knowledge);
+pub async fn follow_servers(store: StoreApi, neighbours: Neighbours, pace: FeedPace) {
+    let cluster_view = Arc::clone(&neighbours.cluster_view);
     let mut feed = Feed::new(StoreTable::Servers, store.clone(), pace).beside(neighbours);
     let mut link = Link::new("servers");
     let mut refusals = RefusedEntries::new("servers");
@@ -98,14 +98,14 @@
         let event = feed.next().await;
         link.note(&event);
         match event {
-            FeedEvent::Lost(_) => knowledge.change_servers(|servers, _now| {
+            FeedEvent::Lost(_) => cluster_view.change_servers(|servers, _now| {
                 servers.store_lost();
                 false
             }),
             FeedEvent::All(rows) => {
                 let entries = changes(&store, &rows.rows, &mut refusals);
                 info!(servers = entries.len(); "servers: listed");
-                knowledge.change_servers(|servers, now| {
+                cluster_view.change_servers(|servers, now| {
                     servers.store_answered(now);
                     servers.replace_all(entries, now);
                     true
@@ -113,25 +113,25 @@
             }
             FeedEvent::Changed(rows) => {
                 let changes = changes(&store, &rows.rows, &mut refusals);
-                knowledge
+                cluster_view
                     .change_servers(|servers, now| take_changes(servers, changes, &mut lines, now));
             }
         }
-        if let Some(until) = knowledge.servers().expired_until() {
-            tokio::spawn(drop_lapsed_at(Arc::clone(&knowledge), until));
+        if let Some(until) = cluster_view.servers().expired_until() {
+            tokio::spawn(drop_lapsed_at(Arc::clone(&cluster_view), until));
         }
     }
 }
 
 /// Drops what lapsed at its time, whatever the feed waits for.
-async fn drop_lapsed_at(knowledge: Arc<Knowledge>, until: Duration) {
-    tokio::time::sleep(until.saturating_sub(knowledge.clock().now())).await;
-    knowledge.change_servers(drop_lapsed);
+async fn drop_lapsed_at(cluster_view: Arc<ClusterView>, until: Duration) {
+    tokio::time::sleep(until.saturating_sub(cluster_view.clock().now())).await;
+    cluster_view.change_servers(drop_lapsed);
 }
 
 /// Follows the gateways for good, and announces this one again if its announcement is gone.
-pub async fn follow_instances(store: StoreCalls, neighbours: Neighbours, own: Own, pace: FeedPace) {
-    let knowledge = Arc::clone(&neighbours.knowledge);
+pub async fn follow_instances(store: StoreApi, neighbours: Neighbours, own: Own, pace: FeedPace) {
+    let cluster_view = Arc::clone(&neighbours.cluster_view);
     let mut feed = Feed::new(StoreTable::Instances, store.clone(), pace).beside(neighbours);
     let mut refusals = RefusedEntries::new("gateways");
     let mut turnover = Turnover::new();
@@ -146,7 +146,7 @@
             keep_only(&own, &told);
             let ids = rows.iter().filter_map(|row| row.key.parse().ok());
             let ids: Vec<_> = ids.collect();
-            knowledge.change_instances(|instances| instances.retain_listed(&ids));
+            cluster_view.change_instances(|instances| instances.retain_listed(&ids));
             // Removed while nothing was told, as while the store had lost its history.
             if own.is_announced.load(Ordering::Acquire) && !ids.contains(&own.instance) {
                 announce_again(&store, &own);
@@ -157,13 +157,20 @@
                 Ok(Told::Evidence((id, evidence))) => own.crashes.take(id, evidence),
                 Ok(Told::Limit((server, limit))) => own.limits.take(&server, limit),
                 Ok(Told::Instance) => {
-                    take_instance(&store, &knowledge, &own, row, &mut refusals, &mut turnover);
+                    take_instance(
+                        &store,
+                        &cluster_view,
+                        &own,
+                        row,
+                        &mut refusals,
+                        &mut turnover,
+                    );
                 }
                 Err(reason) => refusals.note(&row.key, &reason),
             }
         }
-        turnover.log(knowledge.live());
-        for forgotten in knowledge.forgotten() {
+        turnover.log(cluster_view.live());
+        for forgotten in cluster_view.forgotten() {
             withdraw_instance(&store, &forgotten).await;
         }
     }
@@ -172,16 +179,16 @@
 /// What a row of the gateways' table is about.
 #[derive(Debug)]
 enum Told {
-    Evidence(ToldEvidence),
-    Limit(ToldLimit),
+    Evidence(EvidenceUpdate),
+    Limit(LimitUpdate),
     Instance,
 }
 
-fn told_by(store: &StoreCalls, row: &StoreRow) -> Result<Told, String> {
-    if let Some(evidence) = (store.evidence)(row)? {
+fn told_by(store: &StoreApi, row: &StoreRow) -> Result<Told, String> {
+    if let Some(evidence) = (store.parse_evidence)(row)? {
         return Ok(Told::Evidence(evidence));
     }
-    let limit = (store.limit)(row)?;
+    let limit = (store.parse_limit)(row)?;
     Ok(limit.map_or(Told::Instance, Told::Limit))
 }
 
@@ -211,14 +218,14 @@
     /// What it knows of crashed servers.
     pub crashes: Arc<CrashWatch>,
     /// What it knows of servers' limits.
-    pub limits: Arc<LimitWatch>,
+    pub limits: Arc<LimitTracker>,
     /// Whether the store has taken its announcement.
     pub is_announced: Arc<AtomicBool>,
 }
 
 fn take_instance(
-    store: &StoreCalls,
-    knowledge: &Knowledge,
+    store: &StoreApi,
+    cluster_view: &ClusterView,
     own: &Own,
     row: &StoreRow,
     refusals: &mut RefusedEntries,
@@ -228,10 +235,10 @@
         Ok(id) => id,
         Err(error) => return refusals.note(&row.key, &error.to_string()),
     };
-    match row.value.read(store.instance) {
+    match row.value.read(store.parse_announcement) {
         Ok(None) => {
             turnover.gone += 1;
-            gone(store, knowledge, own, &id);
+            gone(store, cluster_view, own, &id);
         }
         Ok(Some(announcement)) => {
             let since = row.version;
@@ -240,7 +247,7 @@
                 let (store, ended) = (store.clone(), id.clone());
                 tokio::spawn(async move { withdraw_instance(&store, &ended).await });
             }
-            let is_new = knowledge
+            let is_new = cluster_view
                 .change_instances(|instances| instances.announced(id, announcement, since));
             turnover.announced += u64::from(is_new);
         }
@@ -248,16 +255,16 @@
             // Another writer's, also where a gateway had announced itself under that name.
             refusals.note(&row.key, &reason);
             turnover.gone += 1;
-            gone(store, knowledge, own, &id);
+            gone(store, cluster_view, own, &id);
         }
     }
 }
 
-fn gone(store: &StoreCalls, knowledge: &Knowledge, own: &Own, id: &InstanceId) {
+fn gone(store: &StoreApi, cluster_view: &ClusterView, own: &Own, id: &InstanceId) {
     if *id == own.instance {
         announce_again(store, own);
     }
-    knowledge.change_instances(|instances| instances.withdrawn(id));
+    cluster_view.change_instances(|instances| instances.withdrawn(id));
 }
 
 /// Gateways that came and went since it was last told.
@@ -292,7 +299,7 @@
 }
 
 /// Announces this gateway anew: another one took it for dead, but it lives.
-fn announce_again(store: &StoreCalls, own: &Own) {
+fn announce_again(store: &StoreApi, own: &Own) {
     if own.stop.is_stopping() {
         return;
     }
@@ -353,7 +360,7 @@
 }
 
 fn changes(
-    store: &StoreCalls,
+    store: &StoreApi,
     rows: &[StoreRow],
     refusals: &mut RefusedEntries,
 ) -> Vec<ServerChange> {
@@ -362,11 +369,7 @@
 }
 
 /// What a row says of a server; none if its key can be no server's id.
-fn change(
-    store: &StoreCalls,
-    row: &StoreRow,
-    refusals: &mut RefusedEntries,
-) -> Option<ServerChange> {
+fn change(store: &StoreApi, row: &StoreRow, refusals: &mut RefusedEntries) -> Option<ServerChange> {
     let id: ServerId = match row.key.parse() {
         Ok(id) => id,
         Err(error) => {
@@ -374,7 +377,7 @@
             return None;
         }
     };
-    let read = row.value.read(|content| (store.server)(&id, content));
+    let read = row.value.read(|content| (store.parse_server)(&id, content));
     match &read {
         Ok(_) => refusals.forget(&row.key),
         Err(reason) => refusals.note(&row.key, reason),
--- a/crates/amaranthscale/src/gateway/version/neighbour.rs
+++ b/crates/amaranthscale/src/gateway/version/neighbour.rs
@@ -14,7 +14,7 @@
 
 use super::super::clock::ms;
 use super::packed_row::MAX_CONTENT_BYTES;
-use super::{HandedAnswer, HandedOn, HandedRows, Knowledge, RowsQuestion};
+use super::{ClusterView, HandedAnswer, HandedOn, HandedRows, RowsQuestion};
 use crate::connection::{PeerClient, read_body_with_idle_timeout};
 use crate::process::Counters;
 
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone)]
 pub struct Neighbours {
     /// Names the gateways nearby.
-    pub knowledge: Arc<Knowledge>,
+    pub cluster_view: Arc<ClusterView>,
     /// Connections to them.
     pub peers: Arc<PeerClient>,
     /// What this gateway hands on itself.
@@ -88,13 +88,13 @@
 
     /// The gateway to ask; none if this one asks the store itself.
     pub(super) fn choose(&mut self, is_lost: bool) -> Option<(InstanceId, SocketAddr)> {
-        let now = self.with.knowledge.clock().now();
+        let now = self.with.cluster_view.clock().now();
         // Remembered for as long again, so that one that fails anew is left out for longer.
         self.left_out.retain(|_, out| out.until + out.time() > now);
         // Without the store itself, any neighbour may be the first to hear from it again.
         let is_left_out =
             |id: &InstanceId| !is_lost && self.left_out.get(id).is_some_and(|out| out.until > now);
-        let reader = self.with.knowledge.reader(is_left_out);
+        let reader = self.with.cluster_view.reader(is_left_out);
         if reader != self.reader {
             let through = match &reader {
                 StoreReader::Other(id, _) => id.as_str(),
@@ -112,7 +112,7 @@
 
     /// Leaves a gateway out for a while.
     pub(super) fn leave_out(&mut self, id: InstanceId) {
-        let now = self.with.knowledge.clock().now();
+        let now = self.with.cluster_view.clock().now();
         let before = self.left_out.get(&id);
         let doublings = before.map_or(0, |out| (out.doublings + 1).min(MOST_DOUBLINGS));
         let mut out = LeftOut {
--- a/crates/amaranthscale/src/gateway/version/store_write.rs
+++ b/crates/amaranthscale/src/gateway/version/store_write.rs
@@ -6,7 +6,7 @@
 use http_body_util::Full;
 use hyper::Request;
 
-use super::super::{StoreAnswer, StoreCalls};
+use super::super::{StoreAnswer, StoreApi};
 use super::feed::call_store;
 use crate::connection::Http1Connection;
 
@@ -15,7 +15,7 @@
 
 /// Makes one write; an error says that it may not have been made.
 pub(crate) async fn write_store(
-    store: &StoreCalls,
+    store: &StoreApi,
     request: Request<Full<Bytes>>,
 ) -> Result<(), String> {
     write_store_if(store, request).await.map(|_is_made| ())
@@ -23,7 +23,7 @@
 
 /// Makes a write, again after a pause until the store has taken it; each failure goes to a function.
 pub(crate) async fn write_store_until_taken(
-    store: &StoreCalls,
+    store: &StoreApi,
     request: impl Fn() -> Request<Full<Bytes>>,
     pause: Duration,
     failed: impl Fn(&str),
@@ -36,7 +36,7 @@
 
 /// Makes one write if its condition holds; says whether it did.
 pub(crate) async fn write_store_if(
-    store: &StoreCalls,
+    store: &StoreApi,
     request: Request<Full<Bytes>>,
 ) -> Result<bool, String> {
     let connection = Http1Connection::open(store.address, WRITE_PATIENCE)
--- a/crates/amaranthscale/src/gateway/version/zones.rs
+++ b/crates/amaranthscale/src/gateway/version/zones.rs
@@ -4,19 +4,19 @@
 use log::info;
 
 use super::super::clock::ms;
-use super::super::{StoreCalls, StoreRow};
-use super::Knowledge;
+use super::super::{StoreApi, StoreRow};
+use super::ClusterView;
 use super::refused_entries::RefusedEntries;
 
 /// What rows of the routing's table say of availability zones.
 pub(super) fn zone_changes(
-    store: &StoreCalls,
+    store: &StoreApi,
     rows: &[StoreRow],
     refusals: &mut RefusedEntries,
 ) -> Vec<ZoneChange> {
     let mut changes = Vec::new();
     for row in rows {
-        match (store.zone)(row) {
+        match (store.parse_zone_change)(row) {
             Ok(None) => {}
             Ok(Some(change)) => {
                 match &change.state {
@@ -33,13 +33,17 @@
 }
 
 /// Evacuates zones and takes them back; says how many.
-pub(super) fn take_zones(knowledge: &Knowledge, changes: Vec<ZoneChange>, is_whole: bool) -> u64 {
+pub(super) fn take_zones(
+    cluster_view: &ClusterView,
+    changes: Vec<ZoneChange>,
+    is_whole: bool,
+) -> u64 {
     if changes.is_empty() && !is_whole {
         return 0;
     }
     let mut count = 0;
-    let age_ms = ms(knowledge.age().unwrap_or_default());
-    knowledge.change_servers(|servers, now| {
+    let age_ms = ms(cluster_view.age().unwrap_or_default());
+    cluster_view.change_servers(|servers, now| {
         let taken = servers.apply_zones(changes, is_whole, now);
         for (zone, state) in &taken {
             let in_zone = servers.all().filter(|record| record.zone == *zone);
