--- a/crates/amaranthscale/src/bin/amaranth-sidecar.rs
+++ b/crates/amaranthscale/src/bin/amaranth-sidecar.rs
@@ -7,7 +7,7 @@
 use amaranthscale::process::{
     StopSignal, daemon_command, listen_override, print_listen_address, read_settings, start_logging,
 };
-use amaranthscale::sidecar::{KeptSidecar, SidecarConfig};
+use amaranthscale::sidecar::{SidecarConfig, SidecarWithTree};
 use amaranthscale::version::TreeSyncSettings;
 use log::{error, warn};
 use mimalloc::MiMalloc;
@@ -40,7 +40,7 @@
 #[tokio::main]
 async fn run(config: SidecarConfig, tree: TreeSyncSettings) -> Result<ExitCode, Box<dyn Error>> {
     let mut stop = StopSignal::listen()?;
-    let mut sidecar = KeptSidecar::start(config, tree).await?;
+    let mut sidecar = SidecarWithTree::start(config, tree).await?;
     print_listen_address(sidecar.sidecar().address())?;
     tokio::select! {
         () = stop.next() => {}
--- a/crates/amaranthscale/src/entry/daemon.rs
+++ b/crates/amaranthscale/src/entry/daemon.rs
@@ -70,7 +70,7 @@
             links.platform.with_kind(ControlKind::HostList),
             parts.decisions,
             config.host,
-            config.host_poll,
+            config.host_poll_interval,
             links.peers,
             peer_addresses,
             known_hosts,
--- a/crates/amaranthscale/src/entry/entry_config.rs
+++ b/crates/amaranthscale/src/entry/entry_config.rs
@@ -45,7 +45,7 @@
     /// How this entry competes for planning the placement.
     pub planner: PlannerSettings,
     /// How often to read the host list.
-    pub host_poll: Duration,
+    pub host_poll_interval: Duration,
     /// Longest silence of a connection with open streams.
     pub silence: Duration,
     /// Seed of random choices.
@@ -74,7 +74,7 @@
             hedge_percent: 1,
             tree: TreeSyncSettings::default(),
             planner: PlannerSettings::default(),
-            host_poll: Duration::from_secs(1),
+            host_poll_interval: Duration::from_secs(1),
             silence: Duration::from_secs(1),
             seed: rand::random(),
         }
--- a/crates/amaranthscale/src/sidecar.rs
+++ b/crates/amaranthscale/src/sidecar.rs
@@ -21,13 +21,13 @@
 mod cost_writer;
 mod gate;
 mod job;
-mod kept;
 mod orders;
 mod routes;
 mod runner;
 mod sidecar_config;
 mod sidecar_error;
 mod sidecar_limits;
+mod sidecar_with_tree;
 mod status;
 mod tree_source;
 
@@ -48,8 +48,6 @@
 use cost_writer::CostWriter;
 use gate::{Gate, GateMessage};
 #[doc(inline)]
-pub use kept::KeptSidecar;
-#[doc(inline)]
 pub use orders::OrderSettings;
 use orders::{EngineBoard, OrderLoop};
 use routes::{Routes, begin_leaving};
@@ -61,6 +59,8 @@
 #[doc(inline)]
 pub use sidecar_limits::SidecarLimits;
 #[doc(inline)]
+pub use sidecar_with_tree::SidecarWithTree;
+#[doc(inline)]
 pub use tree_source::TreeSource;
 
 use crate::connection::{HttpServer, HttpServerLimits};
--- a/crates/amaranthscale/src/sidecar/orders.rs
+++ b/crates/amaranthscale/src/sidecar/orders.rs
@@ -58,12 +58,12 @@
         shown: Arc<EngineBoard>,
         counters: Arc<Counters>,
     ) -> Self {
-        let orders = EngineOrders::new(board.host.clone(), settings.retry_after)
-            .with_refusal_pause(settings.refusal_pause);
+        let orders = EngineOrders::new(board.host.clone(), settings.order_timeout)
+            .with_refusal_pause(settings.refusal_retry_delay);
         Self {
             settings,
             orders,
-            engine: EngineClient::new(engine, settings.retry_after),
+            engine: EngineClient::new(engine, settings.order_timeout),
             platform,
             board,
             shown,
@@ -76,7 +76,7 @@
         loop {
             self.turn().await;
             let share = rand::random_range(LEAST_POLL_SHARE..1.0);
-            tokio::time::sleep(self.settings.poll.mul_f64(share)).await;
+            tokio::time::sleep(self.settings.poll_interval.mul_f64(share)).await;
         }
     }
 
--- a/crates/amaranthscale/src/sidecar/orders/order_settings.rs
+++ b/crates/amaranthscale/src/sidecar/orders/order_settings.rs
@@ -17,20 +17,20 @@
     /// Whether the engine refuses orders with an old fencing number; shown to operators.
     pub honours_fence: bool,
     /// Time between two looks at the placement.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// Silence after which an order is given up.
-    pub retry_after: Duration,
+    pub order_timeout: Duration,
     /// Time after which a refused order is tried again.
-    pub refusal_pause: Duration,
+    pub refusal_retry_delay: Duration,
 }
 
 impl Default for OrderSettings {
     fn default() -> Self {
         Self {
             honours_fence: false,
-            poll: POLL,
-            retry_after: RETRY_AFTER,
-            refusal_pause: REFUSAL_PAUSE,
+            poll_interval: POLL,
+            order_timeout: RETRY_AFTER,
+            refusal_retry_delay: REFUSAL_PAUSE,
         }
     }
 }
--- a/crates/amaranthscale/src/sidecar/kept.rs
+++ b/crates/amaranthscale/src/sidecar/sidecar_with_tree.rs
@@ -20,13 +20,13 @@
 
 /// A sidecar that keeps a settings tree.
 #[derive(Debug)]
-pub struct KeptSidecar {
+pub struct SidecarWithTree {
     sidecar: Sidecar,
     tree: TreeSyncHandle,
     host_watch: JoinHandle<()>,
 }
 
-impl KeptSidecar {
+impl SidecarWithTree {
     /// Starts a keeper, then the sidecar.
     pub async fn start(
         config: SidecarConfig,
--- a/crates/standins/src/deployment.rs
+++ b/crates/standins/src/deployment.rs
@@ -122,7 +122,7 @@
             let zone = plan.zone(number).clone();
             let config = EntryConfig {
                 operator_key: Some(KeyHash::of(OPERATOR_KEY)),
-                host_poll: plan.host_poll,
+                host_poll_interval: plan.host_poll,
                 seed: plan.seed.wrapping_add(u64::from(number)),
                 ..EntryConfig::new(host.clone(), zone.clone(), self.platform())
             };
--- a/crates/standins/src/deployment/running_backend.rs
+++ b/crates/standins/src/deployment/running_backend.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use amaranthscale::sidecar::{KeptSidecar, SidecarConfig, SidecarLimits};
+use amaranthscale::sidecar::{SidecarConfig, SidecarLimits, SidecarWithTree};
 use amaranthscale::version::TreeSyncSettings;
 use amaranthscale_core::id::{HostId, ServiceId};
 use amaranthscale_core::process::FairQueueLimits;
@@ -21,7 +21,7 @@
     host: HostId,
     service: ServiceId,
     backend: Running,
-    sidecar: KeptSidecar,
+    sidecar: SidecarWithTree,
 }
 
 impl RunningBackend {
@@ -50,7 +50,7 @@
                 ..SidecarLimits::default()
             },
         };
-        let sidecar = KeptSidecar::start(config, TreeSyncSettings::default()).await?;
+        let sidecar = SidecarWithTree::start(config, TreeSyncSettings::default()).await?;
         Ok(Self {
             host,
             service: plan.service.clone(),
@@ -85,7 +85,7 @@
 
     /// The sidecar.
     #[must_use]
-    pub const fn sidecar(&self) -> &KeptSidecar {
+    pub const fn sidecar(&self) -> &SidecarWithTree {
         &self.sidecar
     }
 
--- a/crates/standins/tests/orders_planner.rs
+++ b/crates/standins/tests/orders_planner.rs
@@ -309,7 +309,7 @@
     let engines = engines(&bench, 2).await;
     let config = EntryConfig {
         planner: quick_planner(),
-        host_poll: Duration::from_millis(20),
+        host_poll_interval: Duration::from_millis(20),
         ..EntryConfig::new(
             "entry-1".parse().expect("a valid name"),
             "zone-1".parse().expect("a valid name"),
--- a/crates/standins/tests/support/orders_bench.rs
+++ b/crates/standins/tests/support/orders_bench.rs
@@ -67,7 +67,7 @@
     }
 
     /// A sidecar before an engine, looking often.
-    pub async fn sidecar(&self, number: u32, engine: &Running, retry_after: Duration) -> Sidecar {
+    pub async fn sidecar(&self, number: u32, engine: &Running, order_timeout: Duration) -> Sidecar {
         let config = SidecarConfig {
             host: host(number),
             service: pool(),
@@ -76,9 +76,9 @@
             platform: self.platform.address(),
             statsd: None,
             orders: Some(OrderSettings {
-                poll: POLL,
-                retry_after,
-                refusal_pause: POLL,
+                poll_interval: POLL,
+                order_timeout,
+                refusal_retry_delay: POLL,
                 ..OrderSettings::default()
             }),
             limits: SidecarLimits::default(),
