--- a/crates/core/examples/batcher_load.rs
+++ b/crates/core/examples/batcher_load.rs
@@ -1,9 +1,9 @@
-//! Measures what the owner of the batches computes: its own time for each second of its deployment.
+//! Measures the processor time of the batch owner per second of a simulated deployment.
 //!
-//! Time is simulated, so that the deployment runs as fast as the owner can decide. Requests have
-//! three stages of 1, 6 and 6 pieces. Servers are as many as keep up with them at 70% of their time,
-//! and for the same rate once more as many as would need 160%: there, half of the last results are
-//! large, engines read them late, and servers run out of room.
+//! Time is simulated, so the deployment runs as fast as the owner decides. Requests have three
+//! stages of 1, 6 and 6 pieces. At each rate there are two runs: with servers at 70% utilisation,
+//! and with servers at 160%, where half of the final results are large, engines read them late, and
+//! servers run out of storage.
 //!
 //! `cargo run --release -p amaranthscale-core --example batcher_load -- 1000 3000 5000`
 #![expect(
@@ -27,28 +27,28 @@
 const MAX_PIECES: usize = 40;
 const STEP: Duration = Duration::from_millis(5);
 const SECONDS: u64 = 5;
-/// How long an engine keeps what it reads.
-const READ_FOR: Duration = Duration::from_millis(1_500);
+/// How long an engine takes to read its inputs, which are retained meanwhile.
+const READ_TIME: Duration = Duration::from_millis(1_500);
 
-/// What the servers are asked for.
+/// The load on the servers.
 #[derive(Debug, Clone, Copy)]
 struct Load {
     name: &'static str,
-    /// Part of the servers' time that the requests take.
-    of_servers: f64,
-    /// Size of every second request's last results.
+    /// Fraction of the servers' time that the requests take.
+    utilisation: f64,
+    /// Size of the final results of every second request.
     large_bytes: u64,
 }
 
 const LOADS: [Load; 2] = [
     Load {
         name: "calm",
-        of_servers: 0.7,
+        utilisation: 0.7,
         large_bytes: 6_000,
     },
     Load {
         name: "beyond",
-        of_servers: 1.6,
+        utilisation: 1.6,
         large_bytes: 800_000,
     },
 ];
@@ -82,7 +82,7 @@
         let piece_s = batch_s / f64::from(u32::try_from(MAX_PIECES).unwrap());
         let busy = f64::from(per_second) * f64::from(u32::try_from(pieces).unwrap()) * piece_s;
         let count = (1..100_000)
-            .find(|count| f64::from(*count) * load.of_servers >= busy)
+            .find(|count| f64::from(*count) * load.utilisation >= busy)
             .unwrap();
         (0..count)
             .map(|index| server(service, index))
@@ -108,7 +108,7 @@
     batcher
 }
 
-fn order(number: u64, load: Load) -> JobSpec {
+fn job_spec(number: u64, load: Load) -> JobSpec {
     let last_bytes = if number.is_multiple_of(2) {
         load.large_bytes
     } else {
@@ -138,7 +138,7 @@
     }
 }
 
-/// One run's figures.
+/// Measurements of one run.
 struct Figures {
     spent: Duration,
     most_jobs: usize,
@@ -171,7 +171,7 @@
         let started = Instant::now();
         while number < due {
             number += 1;
-            figures.failed += usize::from(batcher.submit(order(number, load), now).is_err());
+            figures.failed += usize::from(batcher.submit(job_spec(number, load), now).is_err());
         }
         let later = ends.split_off(&(now, u64::MAX));
         for batch in std::mem::replace(&mut ends, later).into_values() {
@@ -205,13 +205,13 @@
                 | JobEvent::ResultsDropped(..)
                 | JobEvent::ConnectionLost(..) => continue,
             };
-            read.push_back((now + READ_FOR, job));
+            read.push_back((now + READ_TIME, job));
         }
         while let Some((_, job)) = read.pop_front_if(|(at, _)| *at <= now) {
             batcher.release(job);
         }
-        for frees in batcher.take_free_requests(|_| true) {
-            batcher.results_freed(&frees);
+        for request in batcher.take_free_requests(|_| true) {
+            batcher.results_freed(&request);
         }
         figures.spent += started.elapsed();
         figures.most_jobs = figures.most_jobs.max(batcher.job_count());
--- a/crates/core/src/process/batcher.rs
+++ b/crates/core/src/process/batcher.rs
@@ -1,33 +1,34 @@
 //! Forms batches out of the pieces of many requests, for the servers of stage services.
 //!
-//! A call to such a server costs much by itself and little for each piece, and a server works on
-//! one call at a time, so one owner takes the pieces of all entries' requests and gives each server
-//! the next batch the moment it is free. The owner keeps the account of the servers' turns and of
-//! the room for results: a result takes room at its maker from the start of the call until it is
-//! freed. Intermediate results are freed once the stages that need them are done, the last ones
-//! when the request lets go.
+//! A call to such a server has a high fixed cost and a low cost per piece, and a server processes
+//! one call at a time. So a single owner collects the pieces of all entries' requests and sends
+//! each server its next batch as soon as the server is free. The owner tracks the servers' calls
+//! and their result storage: a result occupies storage at the server that computes it from the
+//! start of the call until it is freed. Intermediate results are freed once the stages that depend
+//! on them are done, final ones when the request releases them.
 //!
-//! Pieces go in the order of the latest start that still meets their request's aim. A request that
-//! cannot meet it runs in what is left over; one that cannot be done at all is refused at once.
-//! Large results are made in the availability zone of their reader where that is in time.
+//! Pieces are sent in the order of the latest start that still meets their request's target
+//! latency. A request that cannot meet it runs on spare capacity; one that cannot be completed at
+//! all is refused at once. Large results are computed in the availability zone of their reader
+//! where time allows.
 //!
-//! Two owners at once break nothing: their calls meet at the servers, which refuse what is too
-//! much, and a piece may be made twice.
+//! Two simultaneous owners are safe: their calls meet at the servers, which reject the excess, and
+//! a piece may be computed twice.
 
 mod ends;
 mod estimate;
 mod fill;
 mod job;
-mod kept;
 mod late;
-mod lives;
 mod message;
-mod near;
-mod open_work;
-mod pace;
+mod pending_work;
 mod pool_state;
 mod queue;
-mod route_worth;
+mod restarts;
+mod retained_result;
+mod route_values;
+mod scan_interval;
+mod zone_availability;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -38,39 +39,39 @@
 use crate::process::server_list::ServerRecord;
 use crate::version::{BatchSpec, Routing};
 
-#[doc(inline)]
-pub use kept::RetainedResult;
 #[doc(inline)]
 pub use message::{
     Batch, BatchEnd, BatchId, BatchItem, DEFAULT_ENGINE_TIME, FreeRequest, JobEvent, JobFailure,
     JobId, JobRefusal, JobSpec, PieceEnd, PieceInput, StageSpec, StageTimes,
 };
+#[doc(inline)]
+pub use retained_result::RetainedResult;
 
 use job::{Job, PieceState, StageState};
-use lives::ListedLives;
-use open_work::OpenWork;
+use pending_work::PendingWork;
 use pool_state::PoolState;
 use queue::Entry;
-use route_worth::RouteWorth;
+use restarts::ListedIncarnations;
+use route_values::RouteValues;
 
-/// How long a new owner takes the servers to be shared with the one before.
-const TAKE_OVER: Duration = Duration::from_secs(1);
+/// Time after a takeover during which the previous owner may still use the servers.
+const TAKEOVER_SHARING: Duration = Duration::from_secs(1);
 
-/// Forms batches and keeps the account of servers' turns and room.
+/// Forms batches and tracks the servers' calls and result storage.
 #[derive(Debug, Default)]
 pub struct Batcher {
     pools: BTreeMap<ServiceId, PoolState>,
     jobs: BTreeMap<JobId, Job>,
     batches: BTreeMap<BatchId, RunningBatch>,
-    frees: BTreeMap<ServerIncarnation, FreeRequest>,
+    free_requests: BTreeMap<ServerIncarnation, FreeRequest>,
     events: Vec<JobEvent>,
-    open_work: OpenWork,
+    pending_work: PendingWork,
     swept_at: Duration,
     next_job: u64,
     next_batch: u64,
-    worth: RouteWorth,
+    route_values: RouteValues,
     examined_stages: u64,
-    /// Until when other owners may use the same servers.
+    /// Until when another owner may be using the same servers.
     shared_until: Duration,
     is_stopping: bool,
 }
@@ -82,18 +83,18 @@
     address: SocketAddr,
     pieces: Vec<RunningPiece>,
     sent_at: Duration,
-    /// Room that the server was taken to have when the call was sent.
+    /// Free result storage that was assumed at the server when the call was sent.
     free_bytes: u64,
 }
 
-/// A piece in a call with the room that it takes, which outlives its job.
+/// A piece in a call with the storage reserved for its result, which may outlive its job.
 #[derive(Debug, Clone, Copy)]
 struct RunningPiece {
     piece: PieceRef,
     result_bytes: u64,
 }
 
-/// Names a piece of a job.
+/// Identifies a piece of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct PieceRef {
     job: JobId,
@@ -102,13 +103,13 @@
 }
 
 impl Batcher {
-    /// A batcher that knows no service.
+    /// A batcher without services.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the services and their servers as they are now, each with what may be sent to it.
+    /// Replaces the services and their servers, each with its availability.
     pub fn set_servers<'a>(
         &mut self,
         routing: &Routing,
@@ -125,9 +126,9 @@
         }
         let mut listed: BTreeMap<&ServiceId, Vec<(&ServerRecord, ServerAvailability)>> =
             BTreeMap::new();
-        let mut lives = ListedLives::new();
+        let mut incarnations = ListedIncarnations::new();
         for (server, server_availability) in servers {
-            lives.insert(server.incarnation.id().clone(), server.incarnation.clone());
+            incarnations.insert(server.incarnation.id().clone(), server.incarnation.clone());
             if server_availability.is_usable()
                 || server_availability == ServerAvailability::Evacuated
             {
@@ -139,83 +140,85 @@
             let empty = Vec::new();
             pool.set_servers(listed.get(service).unwrap_or(&empty));
         }
-        self.end_replaced(&lives, now);
+        self.end_replaced_incarnations(&incarnations, now);
     }
 
-    /// Takes a request's work, or refuses what cannot be done in time.
-    pub fn submit(&mut self, mut order: JobSpec, now: Duration) -> Result<JobId, JobRefusal> {
-        if !order.is_well_formed() {
+    /// Accepts a job, or refuses one that cannot be completed in time.
+    pub fn submit(&mut self, mut spec: JobSpec, now: Duration) -> Result<JobId, JobRefusal> {
+        if !spec.is_well_formed() {
             return Err(JobRefusal {
                 retry_after: Duration::ZERO,
                 reason: JobFailure::Malformed,
             });
         }
         if self.jobs.is_empty() {
-            // Another owner may have been at work until now.
-            self.shared_until = self.shared_until.max(now + TAKE_OVER);
+            // Another owner may have been active until now.
+            self.shared_until = self.shared_until.max(now + TAKEOVER_SHARING);
         }
-        self.keep_usable(&mut order);
-        let outlook = self.outlook(&order, now)?;
+        self.retain_usable(&mut spec);
+        let estimate = self.estimate(&spec, now)?;
         let id = JobId(self.next_job);
         self.next_job += 1;
-        let job = Job::new(order, outlook, now);
+        let job = Job::new(spec, estimate, now);
         self.jobs.insert(id, job);
-        self.take_kept(id, now);
+        self.adopt_retained(id, now);
         self.advance(id, now);
         Ok(id)
     }
 
-    /// Ends a job: what waits is dropped, what is made is freed.
+    /// Ends a job: discards its waiting pieces and frees its results.
     pub fn release(&mut self, id: JobId) {
-        let Some(job) = self.forget(id) else {
+        let Some(job) = self.remove_job(id) else {
             return;
         };
         for stage in job.stages.iter().filter(|stage| !stage.is_freed) {
             for piece in &stage.pieces {
-                self.free_piece(&stage.order.service, stage.order.result_bytes, piece);
+                self.free_piece(&stage.spec.service, stage.spec.result_bytes, piece);
             }
         }
     }
 
-    /// Results that may be dropped, by server, for servers that a function names.
+    /// Removes and returns the requests to free results, for the servers that the predicate
+    /// selects.
     ///
-    /// Their room counts as taken until [`Self::results_freed`] says that the server has dropped them.
+    /// The results count as stored until [`Self::results_freed`] confirms that the server has freed
+    /// them.
     pub fn take_free_requests(
         &mut self,
         is_wanted: impl Fn(&ServerIncarnation) -> bool,
     ) -> Vec<FreeRequest> {
-        let (taken, kept) = std::mem::take(&mut self.frees)
+        let (wanted, others) = std::mem::take(&mut self.free_requests)
             .into_iter()
             .partition::<BTreeMap<_, _>, _>(|(server, _)| is_wanted(server));
-        self.frees = kept;
-        taken.into_values().collect()
+        self.free_requests = others;
+        wanted.into_values().collect()
     }
 
-    /// Takes note that a server has dropped results, or never will know them again.
-    pub fn results_freed(&mut self, frees: &FreeRequest) {
-        if let Some(pool) = self.pools.get_mut(&frees.service) {
-            pool.give_back(&frees.server, frees.total_bytes);
+    /// Records that a server has freed results, or that its incarnation which held them is gone.
+    pub fn results_freed(&mut self, request: &FreeRequest) {
+        if let Some(pool) = self.pools.get_mut(&request.service) {
+            pool.release(&request.server, request.total_bytes);
         }
     }
 
-    /// What became of jobs since the last call.
+    /// Job events since the last call.
     pub fn take_events(&mut self) -> Vec<JobEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Sends no more calls: what is open is for the next owner.
+    /// Stops sending calls, so that unfinished jobs can be handed to the next owner.
     pub const fn stop(&mut self) {
         self.is_stopping = true;
     }
 
-    /// Sends calls again: there is no next owner.
+    /// Resumes sending calls, as no other owner takes over.
     pub const fn resume(&mut self) {
         self.is_stopping = false;
     }
 
-    /// Jobs to hand to the next owner after [`Self::stop`]: those that no call works on any more.
+    /// Jobs to hand to the next owner after [`Self::stop`]: those with no call in flight.
     ///
-    /// What they had made stays at its servers, and nothing more is known of them here.
+    /// Their results stay at the servers, and the batcher forgets the jobs.
     pub fn hand_over(&mut self) -> Vec<JobId> {
         if !self.is_stopping {
             return Vec::new();
@@ -224,61 +227,62 @@
         let idle = self.jobs.iter().filter(|(_, job)| is_idle(job));
         let idle: Vec<_> = idle.map(|(id, _)| *id).collect();
         for id in &idle {
-            self.forget(*id);
+            self.remove_job(*id);
         }
         idle
     }
 
-    /// Takes a job out of the queues and of the account.
-    fn forget(&mut self, id: JobId) -> Option<Job> {
+    /// Removes a job from the queues.
+    fn remove_job(&mut self, id: JobId) -> Option<Job> {
         let job = self.jobs.remove(&id)?;
         for stage in &job.stages {
-            if let Some((entry, pool)) = stage.entry.zip(self.pools.get_mut(&stage.order.service)) {
+            if let Some((entry, pool)) = stage.entry.zip(self.pools.get_mut(&stage.spec.service)) {
                 pool.queue.remove(&entry);
             }
         }
         Some(job)
     }
 
-    /// Stages that wait for a server.
+    /// Number of stages that wait for a server.
     #[must_use]
     pub fn queued_stages(&self) -> usize {
         self.pools.values().map(|pool| pool.queue.len()).sum()
     }
 
-    /// Waiting stages that free servers have looked at since the start: what decisions cost.
+    /// Waiting stages that were examined for free servers since the start: a measure of scheduling
+    /// cost.
     #[must_use]
     pub const fn examined_stages(&self) -> u64 {
         self.examined_stages
     }
 
-    /// Jobs that are not released.
+    /// Number of jobs that are not released.
     #[must_use]
     pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Puts the pieces of stages that can start in their services' queues.
+    /// Queues the pieces of stages whose inputs are complete.
     fn advance(&mut self, id: JobId, now: Duration) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        for index in job.startable() {
+        for index in job.ready_stages() {
             let stage = &mut job.stages[index];
             stage.is_queued = true;
-            stage.clock.queued_at = now;
+            stage.timestamps.queued_at = now;
         }
         if job.is_done() && !job.is_reported {
             job.is_reported = true;
-            let handles = job.last_results();
+            let handles = job.final_results();
             let times = job.stages.iter().map(StageState::times).collect();
             self.events.push(JobEvent::Done(id, handles, times));
         }
-        self.place_in_queues(id);
+        self.update_queues(id);
     }
 
-    /// Puts a job's waiting stages where they now belong.
-    fn place_in_queues(&mut self, id: JobId) {
+    /// Moves a job's waiting stages to their current positions in the queues.
+    fn update_queues(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -287,15 +291,15 @@
             let waits = stage.is_queued && !job.is_reported && stage.has_waiting();
             let entry = waits.then(|| Entry {
                 is_late: job.is_late,
-                place: job.place(index),
+                scheduled_start: job.scheduled_start(index),
                 job: id,
                 stage: index,
-                result_bytes: stage.order.result_bytes,
+                result_bytes: stage.spec.result_bytes,
             });
             if entry == stage.entry {
                 continue;
             }
-            let pool = self.pools.entry(stage.order.service.clone()).or_default();
+            let pool = self.pools.entry(stage.spec.service.clone()).or_default();
             if let Some(old) = &stage.entry {
                 pool.queue.remove(old);
             }
@@ -306,21 +310,21 @@
         }
     }
 
-    /// Frees the results of stages that nothing needs any more.
-    fn free_used(&mut self, id: JobId, now: Duration) {
+    /// Frees the results of stages that no other stage needs any more.
+    fn free_unneeded(&mut self, id: JobId, now: Duration) {
         let is_shared = self.shared_until > now;
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         let mut freed = Vec::new();
-        for index in job.used_up(now, is_shared) {
+        for index in job.unneeded_stages(now, is_shared) {
             let stage = &mut job.stages[index];
             stage.is_freed = true;
             self.events.push(JobEvent::ResultsDropped(id, index));
-            let order = &stage.order;
+            let spec = &stage.spec;
             freed.push((
-                order.service.clone(),
-                order.result_bytes,
+                spec.service.clone(),
+                spec.result_bytes,
                 stage.pieces.clone(),
             ));
         }
@@ -332,7 +336,7 @@
     }
 
     fn free_piece(&mut self, service: &ServiceId, result_bytes: u64, piece: &PieceState) {
-        let PieceState::Made {
+        let PieceState::Completed {
             handle,
             server,
             address,
@@ -340,8 +344,8 @@
         else {
             return;
         };
-        let frees = self
-            .frees
+        let request = self
+            .free_requests
             .entry(server.clone())
             .or_insert_with(|| FreeRequest {
                 server: server.clone(),
@@ -350,8 +354,8 @@
                 handles: Vec::new(),
                 total_bytes: 0,
             });
-        frees.handles.push(handle.clone());
-        frees.total_bytes += result_bytes;
+        request.handles.push(handle.clone());
+        request.total_bytes += result_bytes;
     }
 
     fn fail(&mut self, id: JobId, failure: JobFailure) {
@@ -361,6 +365,6 @@
             job.is_reported = true;
             self.events.push(JobEvent::Failed(id, failure));
         }
-        self.place_in_queues(id);
+        self.update_queues(id);
     }
 }
--- a/crates/core/src/process/batcher/estimate.rs
+++ b/crates/core/src/process/batcher/estimate.rs
@@ -1,78 +1,79 @@
-//! When a request's pieces can be done, from what waits before them.
+//! Estimates when a request's pieces will be completed, given the work queued before them.
 
 use std::borrow::Cow;
 use std::time::Duration;
 
-use super::job::put_off;
-use super::kept::open_pieces;
+use super::job::priority_delay;
+use super::retained_result::remaining_pieces;
 use super::{Batcher, JobFailure, JobRefusal, JobSpec, StageSpec};
 use crate::id::ServiceId;
 
-/// Part of the time left that a late request may need: beyond it, it is likely to be in vain.
-const LATE_PART: f64 = 0.6;
-/// Times its aim within which a late request must be done to be taken.
-const LATE_AIMS: f64 = 2.5;
-/// Shortest time to come back after a refusal.
-const SHORTEST_RETRY: Duration = Duration::from_millis(300);
-/// Longest time to come back after a refusal; callers wait no longer than a part of their time.
-const LONGEST_RETRY: Duration = Duration::from_secs(2);
+/// Fraction of the remaining time that a late request may need: above it, its work would probably
+/// be wasted.
+const LATE_DEADLINE_FRACTION: f64 = 0.6;
+/// Multiple of its target latency within which a late request must complete to be accepted.
+const LATE_TARGET_FACTOR: f64 = 2.5;
+/// Shortest retry delay after a refusal.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Longest retry delay after a refusal; callers wait for a fraction of their deadline at most.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// When the stages of a job must start.
+/// When the stages of a job must start, and how long they take.
 #[derive(Debug)]
-pub(super) struct Outlook {
+pub(super) struct Estimate {
     pub(super) latest_starts: Vec<Duration>,
     pub(super) path_time: Duration,
-    /// Servers' time that each stage takes.
+    /// Server time that each stage takes.
     pub(super) work: Vec<Duration>,
-    pub(super) put_off: Duration,
+    pub(super) priority_delay: Duration,
     pub(super) is_late: bool,
 }
 
 impl Batcher {
-    /// Works out a job's starts, or refuses what cannot be done in time.
-    pub(super) fn outlook(
+    /// Estimates a job's schedule, or refuses a job that cannot be completed in time.
+    pub(super) fn estimate(
         &mut self,
-        order: &JobSpec,
+        job_spec: &JobSpec,
         now: Duration,
-    ) -> Result<Outlook, JobRefusal> {
-        self.open_work.refresh(self.jobs.values(), now);
-        let whole = order;
-        let order = &still_to_make(whole);
-        let calls = self.call_times(order, now)?;
-        let latest_starts = latest_starts(order, &calls, now);
-        let work: Vec<_> = whole
+    ) -> Result<Estimate, JobRefusal> {
+        self.pending_work.refresh(self.jobs.values(), now);
+        let full_spec = job_spec;
+        let job_spec = &remaining_work(full_spec);
+        let calls = self.call_times(job_spec, now)?;
+        let latest_starts = latest_starts(job_spec, &calls, now);
+        let work: Vec<_> = full_spec
             .stages
             .iter()
-            .map(|stage| self.work_of(stage))
+            .map(|stage| self.stage_work(stage))
             .collect();
-        let whole_work = work.iter().sum();
-        let worth = self
-            .worth
-            .relative(&order.route, order.value_tokens, whole_work);
-        let put_off = put_off(order.rank, worth);
-        let waits = order
+        let total_work = work.iter().sum();
+        let relative_value =
+            self.route_values
+                .relative(&job_spec.route, job_spec.value_tokens, total_work);
+        let priority_delay = priority_delay(job_spec.rank, relative_value);
+        let waits = job_spec
             .stages
             .iter()
             .zip(&latest_starts)
-            .map(|(stage, start)| self.backlog(&stage.service, *start + put_off, now));
+            .map(|(stage, start)| self.backlog(&stage.service, *start + priority_delay, now));
         let waits: Vec<_> = waits.collect();
-        let done = done_at(order, &calls, &waits, now);
-        let is_late = done + order.engine_time > now + order.target_latency_left;
+        let done = completion_time(job_spec, &calls, &waits, now);
+        let is_late = done + job_spec.engine_time > now + job_spec.target_latency_left;
         if is_late {
-            self.check_late(order, &calls, now)?;
+            self.check_late(job_spec, &calls, now)?;
         }
-        self.note_arrival(order, now);
-        Ok(Outlook {
-            path_time: done_at(order, &calls, &[], now).saturating_sub(now),
+        self.record_arrival(job_spec, now);
+        Ok(Estimate {
+            path_time: completion_time(job_spec, &calls, &[], now).saturating_sub(now),
             work,
             latest_starts,
-            put_off,
+            priority_delay,
             is_late,
         })
     }
 
     /// Server time that a stage's pieces take in full batches.
-    fn work_of(&self, stage: &StageSpec) -> Duration {
+    fn stage_work(&self, stage: &StageSpec) -> Duration {
         let spec = self.pools.get(&stage.service).and_then(|pool| pool.spec);
         let Some(spec) = spec else {
             return Duration::ZERO;
@@ -82,48 +83,49 @@
         (spec.piece_time + spec.call_time / max_pieces).saturating_mul(pieces)
     }
 
-    /// Refuses a late job that would not be done in what the others leave over.
+    /// Refuses a late job that spare capacity would not complete in time.
     fn check_late(
         &self,
-        order: &JobSpec,
+        job_spec: &JobSpec,
         calls: &[Duration],
         now: Duration,
     ) -> Result<(), JobRefusal> {
-        let waits = order
+        let waits = job_spec
             .stages
             .iter()
-            .map(|stage| self.late_wait(&stage.service, now).whole());
+            .map(|stage| self.late_wait(&stage.service, now).total());
         let waits: Vec<_> = waits.collect();
-        let done = done_at(order, calls, &waits, now);
-        let allowed = order
-            .deadline_left
-            .mul_f64(LATE_PART)
-            .min(order.target_latency_left + order.target_latency.mul_f64(LATE_AIMS - 1.0));
-        if done + order.engine_time <= now + allowed {
+        let done = completion_time(job_spec, calls, &waits, now);
+        let allowed = job_spec.deadline_left.mul_f64(LATE_DEADLINE_FRACTION).min(
+            job_spec.target_latency_left
+                + job_spec.target_latency.mul_f64(LATE_TARGET_FACTOR - 1.0),
+        );
+        if done + job_spec.engine_time <= now + allowed {
             return Ok(());
         }
-        let excess = (done + order.engine_time).saturating_sub(now + order.target_latency_left);
+        let excess =
+            (done + job_spec.engine_time).saturating_sub(now + job_spec.target_latency_left);
         Err(JobRefusal {
-            retry_after: excess.clamp(SHORTEST_RETRY, LONGEST_RETRY),
+            retry_after: excess.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
             reason: JobFailure::Late,
         })
     }
 
-    /// Notes the work that a job brings, for what later jobs may expect.
-    fn note_arrival(&mut self, order: &JobSpec, now: Duration) {
-        for stage in &order.stages {
+    /// Records the work that a job adds, for the estimates of later jobs.
+    fn record_arrival(&mut self, job_spec: &JobSpec, now: Duration) {
+        for stage in &job_spec.stages {
             let Some(pool) = self.pools.get_mut(&stage.service) else {
                 continue;
             };
-            let work = pool.time_for(stage.pieces, now);
-            pool.note_arriving(work, now);
+            let work = pool.processing_time(stage.pieces, now);
+            pool.add_arrival(work, now);
         }
     }
 
     /// Expected time of one call of each stage.
-    fn call_times(&self, order: &JobSpec, now: Duration) -> Result<Vec<Duration>, JobRefusal> {
+    fn call_times(&self, job_spec: &JobSpec, now: Duration) -> Result<Vec<Duration>, JobRefusal> {
         let no_server = JobRefusal {
-            retry_after: SHORTEST_RETRY,
+            retry_after: MIN_RETRY_AFTER,
             reason: JobFailure::NoServer,
         };
         let time_of = |stage: &StageSpec| {
@@ -132,43 +134,48 @@
             }
             let pool = self.pools.get(&stage.service).ok_or(no_server)?;
             let spec = pool.spec.ok_or(no_server)?;
-            if pool.in_use(now).next().is_none() {
+            if pool.usable(now).next().is_none() {
                 return Err(no_server);
             }
             let usual_pieces = stage.pieces.max(spec.max_pieces / 2).min(spec.max_pieces);
             Ok(spec.call_time_for(usual_pieces))
         };
-        order.stages.iter().map(time_of).collect()
+        job_spec.stages.iter().map(time_of).collect()
     }
 
-    /// Time in which a service works off what goes before a place and is not late.
+    /// Time in which a service completes the on-time pieces that are scheduled up to a time.
     pub(super) fn backlog(&self, service: &ServiceId, before: Duration, now: Duration) -> Duration {
-        self.time_for(service, self.open_work.before(service, before), now)
+        self.processing_time(service, self.pending_work.before(service, before), now)
     }
 
-    fn time_for(&self, service: &ServiceId, pieces: usize, now: Duration) -> Duration {
+    fn processing_time(&self, service: &ServiceId, pieces: usize, now: Duration) -> Duration {
         let pool = self.pools.get(service);
-        pool.map_or(Duration::ZERO, |pool| pool.time_for(pieces, now))
+        pool.map_or(Duration::ZERO, |pool| pool.processing_time(pieces, now))
     }
 }
 
-/// An order without the pieces that are kept.
-fn still_to_make(order: &JobSpec) -> Cow<'_, JobSpec> {
-    if order.retained.is_empty() {
-        return Cow::Borrowed(order);
+/// The spec without the pieces whose results are retained.
+fn remaining_work(job_spec: &JobSpec) -> Cow<'_, JobSpec> {
+    if job_spec.retained.is_empty() {
+        return Cow::Borrowed(job_spec);
     }
-    let mut left = order.clone();
-    for (stage, open) in left.stages.iter_mut().zip(open_pieces(order)) {
-        stage.pieces = open;
+    let mut remaining = job_spec.clone();
+    for (stage, pieces) in remaining.stages.iter_mut().zip(remaining_pieces(job_spec)) {
+        stage.pieces = pieces;
     }
-    Cow::Owned(left)
+    Cow::Owned(remaining)
 }
 
-/// When the last stage is done, if each service first works off what goes before.
-fn done_at(order: &JobSpec, calls: &[Duration], waits: &[Duration], now: Duration) -> Duration {
-    let mut done = vec![now; order.stages.len()];
-    for (index, stage) in order.stages.iter().enumerate() {
-        let inputs = stage.depends_on.iter().filter_map(|after| done.get(*after));
+/// When the last stage is done, if each service first completes the work queued before.
+fn completion_time(
+    job_spec: &JobSpec,
+    calls: &[Duration],
+    waits: &[Duration],
+    now: Duration,
+) -> Duration {
+    let mut done = vec![now; job_spec.stages.len()];
+    for (index, stage) in job_spec.stages.iter().enumerate() {
+        let inputs = stage.depends_on.iter().filter_map(|input| done.get(*input));
         let inputs_at = inputs.max().copied().unwrap_or(now);
         done[index] = if stage.pieces == 0 {
             inputs_at
@@ -180,14 +187,14 @@
     done.into_iter().max().unwrap_or(now)
 }
 
-/// Latest start of each stage that still meets the aim.
-fn latest_starts(order: &JobSpec, calls: &[Duration], now: Duration) -> Vec<Duration> {
-    let aim_at = (now + order.target_latency_left).saturating_sub(order.engine_time);
-    let mut starts = vec![aim_at; order.stages.len()];
-    for index in (0..order.stages.len()).rev() {
-        let needing = order.stages.iter().enumerate();
-        let needing = needing.filter(|(_, stage)| stage.depends_on.contains(&index));
-        let end = needing
+/// Latest start of each stage that still meets the target latency.
+fn latest_starts(job_spec: &JobSpec, calls: &[Duration], now: Duration) -> Vec<Duration> {
+    let aim_at = (now + job_spec.target_latency_left).saturating_sub(job_spec.engine_time);
+    let mut starts = vec![aim_at; job_spec.stages.len()];
+    for index in (0..job_spec.stages.len()).rev() {
+        let dependents = job_spec.stages.iter().enumerate();
+        let dependents = dependents.filter(|(_, stage)| stage.depends_on.contains(&index));
+        let end = dependents
             .map(|(later, _)| starts[later])
             .min()
             .unwrap_or(aim_at);
--- a/crates/core/src/process/batcher/fill.rs
+++ b/crates/core/src/process/batcher/fill.rs
@@ -1,30 +1,31 @@
-//! Gives free servers their next batches.
+//! Assigns batches to free servers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::job::{Job, LARGE_RESULT_BYTES, PieceState, StageState};
-use super::near::NearServers;
-use super::pace::paced;
 use super::pool_state::PoolState;
 use super::queue::Entry;
+use super::scan_interval::scan_interval;
+use super::zone_availability::ZoneAvailability;
 use super::{Batch, BatchId, Batcher, JobFailure, PieceRef, RunningBatch, RunningPiece};
 use crate::id::{ServerIncarnation, ServiceId, ZoneId};
 use crate::version::BatchSpec;
 
-/// Times the expected time of a call after which it is given up.
-const PATIENCE_FACTOR: f64 = 2.5;
-/// Time that is always waited beyond the expected one.
-const PATIENCE_MARGIN: Duration = Duration::from_millis(400);
-/// Backlog of a service, as a part of a call, up to which late requests may begin there.
-const SPARE_PART: f64 = 0.5;
+/// Multiple of a call's expected time after which it times out.
+const TIMEOUT_FACTOR: f64 = 2.5;
+/// Constant part of the timeout beyond the expected time.
+const TIMEOUT_MARGIN: Duration = Duration::from_millis(400);
+/// Backlog of a service, as a fraction of a call, up to which late requests may start there.
+const SPARE_BACKLOG_FRACTION: f64 = 0.5;
 
-/// Waiting stages that one free server looks at. A call holds some tens of pieces, so what stands
-/// behind hundreds of more urgent stages that all wait for another server seldom goes before them.
-const MOST_LOOKED_AT: usize = 1024;
+/// Waiting stages that are examined for one free server. A call holds some tens of pieces, so a
+/// stage behind hundreds of more urgent stages that all wait for another server is seldom sent
+/// before them.
+const MAX_EXAMINED: usize = 1024;
 
-/// Time between two looks at all jobs, at least.
-const SWEEP: Duration = Duration::from_millis(20);
+/// Shortest time between two sweeps over all jobs.
+const MIN_SWEEP_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Batcher {
     /// Batches to send now.
@@ -32,44 +33,44 @@
         if self.is_stopping {
             return Vec::new();
         }
-        if now.saturating_sub(self.swept_at) >= paced(SWEEP, self.jobs.len()) {
+        if now.saturating_sub(self.swept_at) >= scan_interval(MIN_SWEEP_INTERVAL, self.jobs.len()) {
             self.swept_at = now;
             self.sweep(now);
         }
-        let has_work = |pool: &PoolState| !pool.queue.is_empty() && pool.has_free(now);
+        let has_work = |pool: &PoolState| !pool.queue.is_empty() && pool.has_available(now);
         let ready = self.pools.iter().filter(|(_, pool)| has_work(pool));
         let services: Vec<_> = ready.map(|(service, _)| service.clone()).collect();
         if services.is_empty() {
             return Vec::new();
         }
-        self.open_work.refresh(self.jobs.values(), now);
+        self.pending_work.refresh(self.jobs.values(), now);
         services
             .iter()
-            .flat_map(|service| self.batches_of(service, now))
+            .flat_map(|service| self.form_batches(service, now))
             .collect()
     }
 
-    /// Looks at all jobs: what is expired, late, or has results that nothing needs.
+    /// Handles all jobs that are expired or late, or whose results are not needed any more.
     fn sweep(&mut self, now: Duration) {
         self.fail_evacuated();
         self.fail_expired(now);
         let jobs: Vec<_> = self.jobs.keys().copied().collect();
         for id in jobs {
-            self.free_used(id, now);
+            self.free_unneeded(id, now);
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            if job.grow_late(now) {
-                self.place_in_queues(id);
+            if job.mark_late_if_overdue(now) {
+                self.update_queues(id);
             }
         }
-        self.give_up_hopeless(now);
+        self.abandon_hopeless(now);
     }
 
-    /// Ends jobs with pieces that no server may make.
+    /// Fails jobs with pieces that no server may compute.
     ///
-    /// Guards against callers held in vain: nothing says when a zone is taken back, and one that
-    /// is told at once may come back in time.
+    /// Guards against callers that wait in vain: it is unknown when a zone will be taken back, and
+    /// a caller that is refused at once can still retry in time.
     fn fail_evacuated(&mut self) {
         let evacuated = self.pools.iter().filter(|(_, pool)| pool.is_evacuated());
         let evacuated: Vec<_> = evacuated.map(|(service, _)| service.clone()).collect();
@@ -77,8 +78,8 @@
             return;
         }
         let is_stuck = |job: &Job| {
-            let mut open = job.stages.iter().filter(|stage| stage.has_waiting());
-            !job.is_reported && open.any(|stage| evacuated.contains(&stage.order.service))
+            let mut waiting = job.stages.iter().filter(|stage| stage.has_waiting());
+            !job.is_reported && waiting.any(|stage| evacuated.contains(&stage.spec.service))
         };
         let stuck = self.jobs.iter().filter(|(_, job)| is_stuck(job));
         let stuck: Vec<_> = stuck.map(|(id, _)| *id).collect();
@@ -92,8 +93,9 @@
             let is_over = if job.is_committed {
                 job.deadline_at <= now
             } else {
-                // What has little behind it needs most of its path, and is not held long in vain.
-                job.held_until <= now || job.deadline_at <= now + job.path_time
+                // A job that has hardly begun needs most of its path time, and waits no longer than
+                // this.
+                job.abandon_at <= now || job.deadline_at <= now + job.path_time
             };
             is_over && !job.is_reported
         };
@@ -104,55 +106,57 @@
         }
     }
 
-    fn batches_of(&mut self, service: &ServiceId, now: Duration) -> Vec<Batch> {
+    fn form_batches(&mut self, service: &ServiceId, now: Duration) -> Vec<Batch> {
         let Some((pool, spec)) = self.pools.get(service).and_then(|p| Some((p, p.spec?))) else {
             return Vec::new();
         };
-        let free = pool.free(now);
-        let mut free: Vec<_> = free
-            .map(|(life, server)| (server.slowness(now), life.clone()))
+        let available = pool.available(now);
+        let mut available: Vec<_> = available
+            .map(|(incarnation, server)| (server.slowness(now), incarnation.clone()))
             .collect();
-        free.sort_by(|(a, _), (b, _)| a.total_cmp(b));
-        let least = pool.least_share(spec, now);
-        let mut startable = self.startable(pool, spec.max_pieces.max(1) * free.len());
+        available.sort_by(|(a, _), (b, _)| a.total_cmp(b));
+        let min_pieces = pool.min_batch_size(spec, now);
+        let mut waiting_pieces =
+            self.waiting_pieces(pool, spec.max_pieces.max(1) * available.len());
         let mut batches = Vec::new();
-        for (index, (_, server)) in free.iter().enumerate() {
-            let others = free.len() - index;
-            // A call's length grows with its pieces, so free servers share what waits, as far as all
-            // servers together then still make what arrives.
-            let share = startable.div_ceil(others).max(least);
-            let share = share.clamp(1, spec.max_pieces.max(1));
-            if let Some(batch) = self.batch_for(service, spec, server, share, now) {
-                startable = startable.saturating_sub(batch.items.len());
+        for (index, (_, server)) in available.iter().enumerate() {
+            let servers_left = available.len() - index;
+            // The time of a call grows with its pieces, so free servers target_size the waiting pieces,
+            // unless the smaller calls would leave the servers unable to keep up with arriving
+            // work.
+            let target_size = waiting_pieces.div_ceil(servers_left).max(min_pieces);
+            let target_size = target_size.clamp(1, spec.max_pieces.max(1));
+            if let Some(batch) = self.form_batch(service, spec, server, target_size, now) {
+                waiting_pieces = waiting_pieces.saturating_sub(batch.items.len());
                 batches.push(batch);
             }
         }
         batches
     }
 
-    /// Pieces that wait, as far as so many are of use.
-    fn startable(&self, pool: &PoolState, enough: usize) -> usize {
+    /// Number of waiting pieces, counted up to `enough`.
+    fn waiting_pieces(&self, pool: &PoolState, enough: usize) -> usize {
         let mut waiting = pool.queue.in_order();
-        let mut startable = 0;
-        while startable < enough
+        let mut waiting_pieces = 0;
+        while waiting_pieces < enough
             && let Some(entry) = waiting.next_within(u64::MAX)
         {
             let stage = &self.jobs[&entry.job].stages[entry.stage];
-            startable += stage.waiting_pieces().count();
+            waiting_pieces += stage.waiting_pieces().count();
         }
-        startable
+        waiting_pieces
     }
 
-    /// Forms one server's batch from the front of the queue.
-    fn batch_for(
+    /// Forms one server's batch from the head of the queue.
+    fn form_batch(
         &mut self,
         service: &ServiceId,
         spec: BatchSpec,
         server: &ServerIncarnation,
-        share: usize,
+        target_size: usize,
         now: Duration,
     ) -> Option<Batch> {
-        let chosen = self.choose(service, spec, server, share, now);
+        let chosen = self.choose_pieces(service, spec, server, target_size, now);
         if chosen.is_empty() {
             return None;
         }
@@ -163,13 +167,13 @@
         let mut pieces = Vec::with_capacity(chosen.len());
         for piece in &chosen {
             let job = self.jobs.get_mut(&piece.job)?;
-            job.start(piece.stage, now);
-            items.push(job.item(piece.stage, piece.piece, now));
+            job.mark_sent(piece.stage, now);
+            items.push(job.batch_item(piece.stage, piece.piece, now));
             let stage = &mut job.stages[piece.stage];
             stage.pieces[piece.piece] = PieceState::Running;
-            stage.clock.sent_at.get_or_insert(now);
-            stage.clock.last_sent_at = now;
-            let result_bytes = stage.order.result_bytes;
+            stage.timestamps.sent_at.get_or_insert(now);
+            stage.timestamps.last_sent_at = now;
+            let result_bytes = stage.spec.result_bytes;
             reserved_bytes += result_bytes;
             pieces.push(RunningPiece {
                 piece: *piece,
@@ -177,7 +181,7 @@
             });
         }
         pool.reserve(server, reserved_bytes);
-        pool.count_send(server, now);
+        pool.record_send(server, now);
         let state = pool.servers.get_mut(server)?;
         let expected = spec
             .call_time_for(items.len())
@@ -193,7 +197,7 @@
             address: state.address,
             zone: state.zone.clone(),
             items,
-            timeout: expected.mul_f64(PATIENCE_FACTOR) + PATIENCE_MARGIN,
+            timeout: expected.mul_f64(TIMEOUT_FACTOR) + TIMEOUT_MARGIN,
         };
         let running = RunningBatch {
             service: service.clone(),
@@ -205,102 +209,108 @@
         };
         self.batches.insert(id, running);
         for piece in chosen {
-            self.place_in_queues(piece.job);
+            self.update_queues(piece.job);
         }
         Some(batch)
     }
 
-    /// Pieces for one server, from the front of the queue.
+    /// Pieces for one server, from the head of the queue.
     ///
-    /// Guards against an owner whose time goes into looking: when servers are free but out of
-    /// room, or what waits is late or had better wait for a near server, each of them would look at
-    /// the whole queue at each event, the queue would grow by that, and the owner would not come
-    /// back from a burst. A look passes over what cannot fit and ends after a fixed number.
-    fn choose(
+    /// Guards against an owner that spends its time on searching: when servers are free but out of
+    /// result storage, or the waiting stages are late or should wait for a server in another zone,
+    /// each of the servers would search the whole queue at each event, the queue would grow
+    /// meanwhile, and the owner would not recover from a burst. The search skips results that do
+    /// not fit and examines a limited number of stages.
+    fn choose_pieces(
         &mut self,
         service: &ServiceId,
         spec: BatchSpec,
         server: &ServerIncarnation,
-        share: usize,
+        target_size: usize,
         now: Duration,
     ) -> Vec<PieceRef> {
         let pool = &self.pools[service];
-        let Some(maker) = pool.servers.get(server) else {
+        let Some(server_state) = pool.servers.get(server) else {
             return Vec::new();
         };
-        let near = NearServers::of(pool, spec, now);
-        let mut with_spare = SpareServices::new(self, now);
+        let zones = ZoneAvailability::of(pool, spec, now);
+        let mut spare_capacity = SpareCapacity::new(self, now);
         let mut free_bytes = pool.free_bytes(server, now);
         let mut chosen: Vec<PieceRef> = Vec::new();
         let mut ahead: BTreeMap<&ZoneId, usize> = BTreeMap::new();
         let mut waiting = pool.queue.in_order();
-        let mut looked_at = 0;
-        while chosen.len() < share
-            && looked_at < MOST_LOOKED_AT
+        let mut examined = 0;
+        while chosen.len() < target_size
+            && examined < MAX_EXAMINED
             && let Some(entry) = waiting.next_within(free_bytes)
         {
-            looked_at += 1;
-            if entry.is_late && !with_spare.has(service) {
-                // All that follows is late as well.
+            examined += 1;
+            if entry.is_late && !spare_capacity.has_spare(service) {
+                // All later entries are late as well.
                 break;
             }
             let job = &self.jobs[&entry.job];
             let stage = &job.stages[entry.stage];
-            let is_for_another = self.home_zone(job, entry.stage).is_some_and(|home| {
-                let ahead = ahead.entry(home).or_default();
-                let before = std::mem::replace(ahead, *ahead + stage.order.pieces);
-                !job.is_late && maker.zone != *home && near.wait(home, before, stage.latest_start)
-            });
-            if is_for_another
-                || (job.is_late && !with_spare.has_all(job))
-                || near.are_faster(maker, stage.latest_start, job.is_late)
+            let should_wait = self
+                .preferred_zone(job, entry.stage)
+                .is_some_and(|preferred| {
+                    let ahead = ahead.entry(preferred).or_default();
+                    let before = std::mem::replace(ahead, *ahead + stage.spec.pieces);
+                    !job.is_late
+                        && server_state.zone != *preferred
+                        && zones.should_wait(preferred, before, stage.latest_start)
+                });
+            if should_wait
+                || (job.is_late && !spare_capacity.all_have_spare(job))
+                || zones.is_faster_elsewhere(server_state, stage.latest_start, job.is_late)
             {
                 continue;
             }
-            let goes_alone = job.goes_alone();
-            if goes_alone && !chosen.is_empty() {
+            let runs_alone = job.runs_alone();
+            if runs_alone && !chosen.is_empty() {
                 continue;
             }
-            let left = spec.max_pieces - chosen.len();
-            let pieces = fitting_pieces(entry, stage, left, &mut free_bytes);
+            let pieces_left = spec.max_pieces - chosen.len();
+            let pieces = fitting_pieces(entry, stage, pieces_left, &mut free_bytes);
             chosen.extend(pieces);
-            if goes_alone && !chosen.is_empty() {
+            if runs_alone && !chosen.is_empty() {
                 break;
             }
         }
-        self.examined_stages += u64::try_from(looked_at).unwrap_or(u64::MAX);
+        self.examined_stages += u64::try_from(examined).unwrap_or(u64::MAX);
         chosen
     }
 
-    /// The availability zone in which a stage's pieces move the fewest bytes, if it matters.
-    fn home_zone<'a>(&'a self, job: &'a Job, stage: usize) -> Option<&'a ZoneId> {
-        let order = &job.stages[stage].order;
-        let output_bytes = order.result_bytes * u64::try_from(order.pieces).unwrap_or(0);
+    /// The availability zone in which computing a stage's pieces moves the fewest bytes; none for
+    /// small results.
+    fn preferred_zone<'a>(&'a self, job: &'a Job, stage: usize) -> Option<&'a ZoneId> {
+        let spec = &job.stages[stage].spec;
+        let output_bytes = spec.result_bytes * u64::try_from(spec.pieces).unwrap_or(0);
         let input_bytes = job.input_bytes(stage);
         if output_bytes.max(input_bytes) < LARGE_RESULT_BYTES {
             return None;
         }
         if output_bytes >= input_bytes {
-            // Results for later stages may lie anywhere: those stages follow them.
-            let is_last = !job.is_needed(stage);
-            return is_last.then_some(&job.order.reader_zone);
+            // Inputs of later stages may be stored anywhere: those stages follow them.
+            let is_last = !job.has_dependents(stage);
+            return is_last.then_some(&job.spec.reader_zone);
         }
-        let maker = job.input_server(stage)?;
+        let source = job.input_server(stage)?;
         let mut pools = self.pools.values();
-        let maker = pools.find_map(|pool| pool.servers.get(maker))?;
-        Some(&maker.zone)
+        let source = pools.find_map(|pool| pool.servers.get(source))?;
+        Some(&source.zone)
     }
 }
 
-/// Pieces of a stage that go into a call, together as far as they fit: the next stage waits for all.
+/// Pieces of a stage that go into one call, as many as fit: the next stage needs all of them.
 fn fitting_pieces(
     entry: &Entry,
     stage: &StageState,
-    most: usize,
+    max_pieces: usize,
     free_bytes: &mut u64,
 ) -> Vec<PieceRef> {
     let mut pieces = Vec::new();
-    for piece in stage.waiting_pieces().take(most) {
+    for piece in stage.waiting_pieces().take(max_pieces) {
         if entry.result_bytes > *free_bytes {
             break;
         }
@@ -314,14 +324,14 @@
     pieces
 }
 
-/// Which services have time to spare for late requests, asked once a service.
-struct SpareServices<'a> {
+/// Which services have spare capacity for late requests, computed once per service.
+struct SpareCapacity<'a> {
     batcher: &'a Batcher,
     now: Duration,
     known: BTreeMap<&'a ServiceId, bool>,
 }
 
-impl<'a> SpareServices<'a> {
+impl<'a> SpareCapacity<'a> {
     const fn new(batcher: &'a Batcher, now: Duration) -> Self {
         Self {
             batcher,
@@ -330,18 +340,20 @@
         }
     }
 
-    fn has(&mut self, service: &'a ServiceId) -> bool {
+    fn has_spare(&mut self, service: &'a ServiceId) -> bool {
         let (batcher, now) = (self.batcher, self.now);
         *self.known.entry(service).or_insert_with(|| {
             let spec = batcher.pools.get(service).and_then(|pool| pool.spec);
-            let spare = spec.map_or(Duration::ZERO, |spec| spec.call_time.mul_f64(SPARE_PART));
+            let spare = spec.map_or(Duration::ZERO, |spec| {
+                spec.call_time.mul_f64(SPARE_BACKLOG_FRACTION)
+            });
             batcher.backlog(service, Duration::MAX, now) <= spare
         })
     }
 
-    /// Whether all services of a late job have time to spare.
-    fn has_all(&mut self, job: &'a Job) -> bool {
+    /// Whether all services of a late job have spare capacity.
+    fn all_have_spare(&mut self, job: &'a Job) -> bool {
         let mut stages = job.stages.iter();
-        stages.all(|stage| stage.order.pieces == 0 || self.has(&stage.order.service))
+        stages.all(|stage| stage.spec.pieces == 0 || self.has_spare(&stage.spec.service))
     }
 }
--- a/crates/core/src/process/batcher/message.rs
+++ b/crates/core/src/process/batcher/message.rs
@@ -1,4 +1,4 @@
-//! What goes into the batcher and what comes out.
+//! Input and output types of the batcher.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,25 +7,25 @@
 use crate::id::{CallId, ResultHandle, RouteId, ServerIncarnation, ServiceId, ZoneId};
 use crate::process::{Cell, Rank};
 
-/// Names a job of the batcher.
+/// Identifies a job of the batcher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub(super) u64);
 
-/// Names a call to a stage server.
+/// Identifies a call to a stage server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BatchId(pub(super) u64);
 
-/// The pieces that one stage of a request has.
+/// The pieces of one stage of a request.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct StageSpec {
-    /// Service that makes them.
+    /// Service that computes them.
     pub service: ServiceId,
-    /// Stages whose results they need.
+    /// Stages whose results they depend on.
     #[serde(rename = "after")]
     pub depends_on: Vec<usize>,
-    /// How many; none leaves the stage out.
+    /// Number of pieces; with none, the stage is skipped.
     pub pieces: usize,
-    /// Usual size of one result.
+    /// Typical size of one result.
     pub result_bytes: u64,
 }
 
@@ -33,71 +33,71 @@
 #[serde_with::serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct JobSpec {
-    /// The caller's send.
+    /// Id of the caller's call.
     pub call: CallId,
-    /// The route that the request came on.
+    /// Route of the request.
     pub route: RouteId,
-    /// The cell that makes its pieces.
+    /// Cell that computes its pieces.
     pub cell: Cell,
-    /// The caller's key of the pieces.
+    /// Key from which the first stages compute their pieces.
     pub piece_key: String,
-    /// All stages of the route, in its order.
+    /// All stages of the route, in order.
     pub stages: Vec<StageSpec>,
-    /// How urgent it is against others.
+    /// Its urgency relative to others.
     pub rank: Rank,
-    /// Worth of the answer against others', in tokens of the engine's work; 0 if not known.
+    /// Value of the answer relative to others, in tokens of engine work; 0 if not known.
     #[serde(rename = "worth_tokens")]
     pub value_tokens: u64,
-    /// Time from the caller's send within which the answer is of full worth.
+    /// Time from the start of the call within which the answer has its full value.
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     #[serde(rename = "aim_ms")]
     pub target_latency: Duration,
-    /// Time left until the results are of full worth no longer.
+    /// Remaining time to the target latency.
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     #[serde(rename = "aim_left_ms")]
     pub target_latency_left: Duration,
-    /// Time left until they are of no worth.
+    /// Remaining time to the deadline, after which the results have no value.
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
     #[serde(rename = "deadline_left_ms")]
     pub deadline_left: Duration,
-    /// Time that the engine is likely to take from the results to the first event.
+    /// Expected time from the results to the engine's first event.
     #[serde_as(as = "serde_with::DurationMilliSeconds<u64>")]
-    #[serde(rename = "engine_ms", default = "usual_engine_time")]
+    #[serde(rename = "engine_ms", default = "default_engine_time")]
     pub engine_time: Duration,
-    /// Availability zone of the engine that reads the last results.
+    /// Availability zone of the engine that reads the final results.
     pub reader_zone: ZoneId,
-    /// Results that an earlier owner had made.
+    /// Results that were computed under an earlier owner.
     #[serde(default)]
     #[serde(rename = "kept")]
     pub retained: Vec<RetainedResult>,
 }
 
-/// Time that an engine takes to its first event while nothing better is known.
+/// Expected time to an engine's first event until measured times are available.
 pub const DEFAULT_ENGINE_TIME: Duration = Duration::from_millis(110);
 
-const fn usual_engine_time() -> Duration {
+const fn default_engine_time() -> Duration {
     DEFAULT_ENGINE_TIME
 }
 
-/// Most pieces of one stage; requests have some ten.
-const MOST_PIECES: usize = 1_000;
-/// Most stages of one request.
-const MOST_STAGES: usize = 32;
+/// Largest number of pieces of one stage; requests have about ten.
+const MAX_PIECES: usize = 1_000;
+/// Largest number of stages of one request.
+const MAX_STAGES: usize = 32;
 
 impl JobSpec {
-    /// Whether its stages can be.
+    /// Whether the stages are valid.
     ///
-    /// Guards against a caller that asks for a number of pieces which would take all memory, and
-    /// against stages that wait for themselves or for ones that are not there.
+    /// Guards against a number of pieces that would take all memory, and against stages that depend
+    /// on themselves or on stages that do not exist.
     #[must_use]
     pub fn is_well_formed(&self) -> bool {
         let mut stages = self.stages.iter().enumerate();
         self.cell.is_well_formed()
-            && self.stages.len() <= MOST_STAGES
-            && self.retained.len() <= MOST_STAGES * MOST_PIECES
+            && self.stages.len() <= MAX_STAGES
+            && self.retained.len() <= MAX_STAGES * MAX_PIECES
             && stages.all(|(index, stage)| {
-                let comes_before = |after: &usize| *after < index;
-                stage.pieces <= MOST_PIECES && stage.depends_on.iter().all(comes_before)
+                let comes_before = |input: &usize| *input < index;
+                stage.pieces <= MAX_PIECES && stage.depends_on.iter().all(comes_before)
             })
     }
 }
@@ -105,31 +105,31 @@
 /// One piece within a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BatchItem {
-    /// The caller's send.
+    /// Id of the caller's call.
     pub call: CallId,
-    /// Stage of its route.
+    /// Index of the stage in its route.
     pub stage: usize,
-    /// Number of the piece within the stage.
+    /// Index of the piece within the stage.
     pub piece: usize,
-    /// Time left for it.
+    /// Remaining time to the deadline.
     pub deadline_left: Duration,
-    /// Key for the first stages, results of earlier pieces for the others.
+    /// The request's key for the first stages, results of earlier stages for the others.
     pub input: PieceInput,
 }
 
-/// What a piece is made from.
+/// The input of a piece.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PieceInput {
     /// The request's own key.
     Key(String),
-    /// Results of all pieces of the stages before.
+    /// Results of all pieces of the stages it depends on.
     Results(Vec<ResultHandle>),
 }
 
 /// A call to a stage server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Batch {
-    /// Names the call.
+    /// Id of the call.
     pub id: BatchId,
     /// Service of the server.
     pub service: ServiceId,
@@ -139,22 +139,22 @@
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Pieces to make.
+    /// Pieces to compute.
     pub items: Vec<BatchItem>,
-    /// Time after which the call is given up.
+    /// Time after which the call times out.
     pub timeout: Duration,
 }
 
 /// How one piece of a call ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PieceEnd {
-    /// The result and its handle.
+    /// Computed; the handle of its result.
     Completed(ResultHandle),
-    /// Its time was over at its turn.
+    /// Its deadline had passed when the server came to it.
     Late,
-    /// A result that it needs is gone.
+    /// A result that it depends on is gone.
     InputMissing,
-    /// The server has no room for its result.
+    /// The server has no storage left for its result.
     StorageFull,
     /// The server failed.
     Failed,
@@ -165,54 +165,54 @@
 pub enum BatchEnd {
     /// The server answered for each piece, in order.
     Pieces(Vec<PieceEnd>),
-    /// Nothing was sent: the server may be used no longer.
+    /// Nothing was sent, as the server may not be used any more.
     NotSent,
-    /// The server did not take the call.
+    /// The server rejected the call.
     Rejected,
-    /// The address has another server now.
+    /// Another server now listens at the address.
     OtherServer,
     /// No answer came: the call may have run.
     NoAnswer,
-    /// The connection ended after the call was sent: the server may have ended with it.
+    /// The connection ended after the call was sent: the server may have crashed.
     ConnectionLost,
 }
 
-/// What became of a job.
+/// An event in the life cycle of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum JobEvent {
-    /// All pieces are made: the handles that the engine needs, and where the time went.
+    /// All pieces are computed: the result handles for the engine, and the times of the stages.
     Done(JobId, Vec<ResultHandle>, Vec<StageTimes>),
-    /// The job cannot be done.
+    /// The job has failed.
     Failed(JobId, JobFailure),
-    /// A call with some of its pieces was cut off at a server.
+    /// The connection was lost during a call with some of its pieces.
     ConnectionLost(JobId, ServerIncarnation, SocketAddr),
-    /// Some pieces are made; their age counts from now.
+    /// Some results are stored; their age counts from now.
     ResultsStored(JobId, Vec<RetainedResult>),
-    /// A stage's results are freed, or are to be made anew.
+    /// A stage's results are freed, or will be recomputed.
     ResultsDropped(JobId, usize),
 }
 
-/// Where one stage's time went.
+/// Time spent in one stage.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StageTimes {
-    /// From the last input to the first piece in a call.
+    /// From the last input to the first sent piece.
     pub waited: Duration,
-    /// From there to the last result.
+    /// From then to the last result.
     pub worked: Duration,
 }
 
-/// Why a job cannot be done.
+/// Why a job failed or was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum JobFailure {
-    /// Its time is over.
+    /// It cannot meet its deadline or has waited too long.
     Late,
     /// Its pieces failed too often.
     Failing,
-    /// No server of a service is known.
+    /// A service has no usable server.
     NoServer,
-    /// The owner of the batches is behind and takes no more work for the moment.
+    /// The batch owner is behind and accepts no more jobs at the moment.
     Overloaded,
-    /// Its stages cannot be: too many pieces, or inputs that do not come before.
+    /// Its stages are invalid: too many pieces, or inputs that do not precede them.
     Malformed,
 }
 
@@ -228,26 +228,26 @@
     }
 }
 
-/// A job that is not taken.
+/// A job that was not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct JobRefusal {
-    /// Time after which there may be place.
+    /// Time after which a retry makes sense.
     pub retry_after: Duration,
     /// Why.
     pub reason: JobFailure,
 }
 
-/// Results that a server may drop.
+/// Results that a server may free.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FreeRequest {
-    /// The server that keeps them.
+    /// The server that stores them.
     pub server: ServerIncarnation,
     /// Where it listens.
     pub address: SocketAddr,
     /// Service of the server.
     pub service: ServiceId,
-    /// Their names.
+    /// Handles of the results.
     pub handles: Vec<ResultHandle>,
-    /// Room that they take.
+    /// Storage that they occupy.
     pub total_bytes: u64,
 }
--- a/crates/core/src/process/batcher/open_work.rs
+++ b/crates/core/src/process/batcher/pending_work.rs
@@ -1,41 +1,41 @@
-//! How many pieces of each service are not started, by their place.
+//! Number of waiting pieces of each service, by their scheduled start.
 //!
-//! Worked out for all services at once and used for some milliseconds: asked for each new job, it
-//! would cost a pass over all jobs each time.
+//! Counted for all services at once and reused for some milliseconds: counting for each new job
+//! would scan all jobs each time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::job::Job;
-use super::pace::paced;
+use super::scan_interval::scan_interval;
 use crate::id::ServiceId;
 
-/// How long one count is used at least; a few jobs come meanwhile.
-const USED_FOR: Duration = Duration::from_millis(10);
+/// Shortest time for which a count is reused; a few jobs arrive meanwhile.
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Pieces that are not started, of all jobs.
+/// Waiting pieces of all jobs.
 #[derive(Debug, Default)]
-pub(super) struct OpenWork {
+pub(super) struct PendingWork {
     counted_at: Option<Duration>,
-    services: BTreeMap<ServiceId, OpenPieces>,
+    services: BTreeMap<ServiceId, PendingPieces>,
 }
 
 #[derive(Debug, Default)]
-struct OpenPieces {
-    /// Places in order, with the pieces up to each.
+struct PendingPieces {
+    /// Scheduled starts in order, with the cumulative number of pieces up to each.
     on_time: Vec<(Duration, usize)>,
     late: usize,
 }
 
-impl OpenWork {
-    /// Counts anew if the last count is too old.
+impl PendingWork {
+    /// Counts again if the last count is too old.
     pub(super) fn refresh<'a>(
         &mut self,
         jobs: impl ExactSizeIterator<Item = &'a Job>,
         now: Duration,
     ) {
-        let used_for = paced(USED_FOR, jobs.len());
-        let is_recent = |counted_at: Duration| now.saturating_sub(counted_at) < used_for;
+        let refresh_interval = scan_interval(MIN_REFRESH_INTERVAL, jobs.len());
+        let is_recent = |counted_at: Duration| now.saturating_sub(counted_at) < refresh_interval;
         if self.counted_at.is_some_and(is_recent) {
             return;
         }
@@ -48,16 +48,18 @@
             self.count(job);
         }
         for pieces in self.services.values_mut() {
-            pieces.add_up();
+            pieces.accumulate();
         }
     }
 
-    /// Pieces of a service that are not late and go before a place.
-    pub(super) fn before(&self, service: &ServiceId, place: Duration) -> usize {
+    /// On-time pieces of a service that are scheduled up to a time.
+    pub(super) fn before(&self, service: &ServiceId, scheduled_start: Duration) -> usize {
         let Some(pieces) = self.services.get(service) else {
             return 0;
         };
-        let end = pieces.on_time.partition_point(|(other, _)| *other <= place);
+        let end = pieces
+            .on_time
+            .partition_point(|(other, _)| *other <= scheduled_start);
         end.checked_sub(1).map_or(0, |last| pieces.on_time[last].1)
     }
 
@@ -68,28 +70,28 @@
 
     fn count(&mut self, job: &Job) {
         for (index, stage) in job.stages.iter().enumerate() {
-            let open = stage.waiting_pieces().count();
-            if open == 0 {
+            let waiting = stage.waiting_pieces().count();
+            if waiting == 0 {
                 continue;
             }
-            if !self.services.contains_key(&stage.order.service) {
-                let service = stage.order.service.clone();
-                self.services.insert(service, OpenPieces::default());
+            if !self.services.contains_key(&stage.spec.service) {
+                let service = stage.spec.service.clone();
+                self.services.insert(service, PendingPieces::default());
             }
-            let Some(pieces) = self.services.get_mut(&stage.order.service) else {
+            let Some(pieces) = self.services.get_mut(&stage.spec.service) else {
                 continue;
             };
             if job.is_late {
-                pieces.late += open;
+                pieces.late += waiting;
             } else {
-                pieces.on_time.push((job.place(index), open));
+                pieces.on_time.push((job.scheduled_start(index), waiting));
             }
         }
     }
 }
 
-impl OpenPieces {
-    fn add_up(&mut self) {
+impl PendingPieces {
+    fn accumulate(&mut self) {
         self.on_time.sort_unstable();
         let mut sum = 0;
         for (_, pieces) in &mut self.on_time {
--- a/crates/core/src/process/batcher/pool_state.rs
+++ b/crates/core/src/process/batcher/pool_state.rs
@@ -1,4 +1,4 @@
-//! One stage service: its queue and the account of its servers.
+//! One stage service: its queue and the state of its servers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,28 +13,29 @@
 use crate::process::server_list::ServerRecord;
 use crate::version::BatchSpec;
 
-/// Part of the room that is used: sizes of results are approximate.
-const USED_ROOM_PERCENT: u64 = 95;
-/// Part of the servers' time up to which pieces are spread thin: with more of it in calls of few
-/// pieces, what arrives next finds no server free. Flat from 0.7 to 1.0 where it was varied.
-const BUSY_PART: f64 = 0.9;
-/// Part of each new sample in a server's slowness.
-const SAMPLE_SHARE: f64 = 0.5;
-/// Time without a call after which a server counts as no slower than the others again.
-const SLOWNESS_LIFE: Duration = Duration::from_secs(3);
-/// First time that a server which lost a call is left out; doubles with each further loss.
-const FIRST_OUT: Duration = Duration::from_millis(500);
-/// Most doublings of the time that a server is left out.
-const MOST_DOUBLINGS: u32 = 3;
+/// Usable part of the result storage: sizes of results are approximate.
+const USABLE_CAPACITY_PERCENT: u64 = 95;
+/// Fraction of the servers' time up to which pieces are spread over small calls: above it, arriving
+/// pieces find no free server.
+const BUSY_FRACTION: f64 = 0.9;
+/// Weight of each new sample in a server's slowness.
+const SAMPLE_WEIGHT: f64 = 0.5;
+/// Time without a call after which a server is assumed to be as fast as the others again.
+const SLOWNESS_LIFETIME: Duration = Duration::from_secs(3);
+/// First ejection time of a server that lost a call; doubles with each further loss.
+const MIN_EJECTION: Duration = Duration::from_millis(500);
+/// Largest number of doublings of the ejection time.
+const MAX_DOUBLINGS: u32 = 3;
 
-/// Speed that a service is always taken to have, in servers; none in use would divide by zero.
-const LEAST_SPEED: f64 = 0.2;
-/// Part of the servers' time that is always taken to arrive; none would divide by zero.
-const LEAST_ARRIVING: f64 = 0.01;
-/// Span over which arriving work is averaged.
+/// Smallest assumed speed of a service, in servers; avoids a division by zero without usable
+/// servers.
+const MIN_SPEED: f64 = 0.2;
+/// Smallest assumed arrival load; avoids a division by zero.
+const MIN_ARRIVAL_LOAD: f64 = 0.01;
+/// Window over which arriving work is averaged.
 const ARRIVAL_WINDOW: Duration = Duration::from_secs(2);
 
-/// One server as the owner of the batches sees it.
+/// State of one server.
 #[derive(Debug)]
 pub(super) struct StageServer {
     pub(super) address: SocketAddr,
@@ -42,14 +43,15 @@
     pub(super) calls: usize,
     /// Expected end of its calls.
     pub(super) busy_until: Duration,
-    pub(super) out_until: Duration,
-    /// What may be sent to it; one of an evacuated zone keeps its account for when it is taken back.
+    pub(super) ejected_until: Duration,
+    /// Whether calls may be sent to it. The state of a server of an evacuated zone is retained
+    /// until the zone is taken back.
     pub(super) server_availability: ServerAvailability,
     losses: u32,
-    used_bytes: u64,
-    /// Room that results of others took when the server last had none left.
-    others_bytes: u64,
-    others_at: Duration,
+    reserved_bytes: u64,
+    /// Storage occupied by results that the owner does not know, when it was last estimated.
+    untracked_bytes: u64,
+    untracked_at: Duration,
     slowness: f64,
     sampled_at: Duration,
 }
@@ -61,35 +63,35 @@
             zone: record.zone.clone(),
             calls: 0,
             busy_until: Duration::ZERO,
-            out_until: Duration::ZERO,
+            ejected_until: Duration::ZERO,
             server_availability,
             losses: 0,
-            used_bytes: 0,
-            others_bytes: 0,
-            others_at: Duration::ZERO,
+            reserved_bytes: 0,
+            untracked_bytes: 0,
+            untracked_at: Duration::ZERO,
             slowness: 1.0,
             sampled_at: Duration::ZERO,
         }
     }
 
-    /// Times that a call takes longer here than the service says.
+    /// Ratio of the time of a call here to the expected time.
     pub(super) fn slowness(&self, now: Duration) -> f64 {
-        if now.saturating_sub(self.sampled_at) > SLOWNESS_LIFE {
+        if now.saturating_sub(self.sampled_at) > SLOWNESS_LIFETIME {
             1.0
         } else {
             self.slowness
         }
     }
 
-    fn others_bytes(&self, kept_for: Duration, now: Duration) -> u64 {
-        let elapsed = now.saturating_sub(self.others_at).min(kept_for);
+    fn untracked_bytes(&self, kept_for: Duration, now: Duration) -> u64 {
+        let elapsed = now.saturating_sub(self.untracked_at).min(kept_for);
         let left_ms = kept_for.saturating_sub(elapsed).as_millis();
         let whole_ms = kept_for.as_millis().max(1);
-        let left = u128::from(self.others_bytes) * left_ms / whole_ms;
+        let left = u128::from(self.untracked_bytes) * left_ms / whole_ms;
         u64::try_from(left).unwrap_or(u64::MAX)
     }
 
-    /// The owner's share of its calls while it is cold or names a limit.
+    /// The owner's share of the server's rate limit while it is cold or limited.
     fn send_share(&self, now: Duration) -> Option<SendShare> {
         let bound = match self.server_availability {
             ServerAvailability::Cold { until, .. } if until <= now => None,
@@ -98,8 +100,8 @@
         bound.map(SendRateLimit::share_of_owner)
     }
 
-    /// Part of a server's usual calls that it takes, by its limit.
-    fn part_by_limit(&self, usual_call: Duration) -> f64 {
+    /// Fraction of its usual calls that a server accepts under its rate limit.
+    fn limit_fraction(&self, usual_call: Duration) -> f64 {
         match self.server_availability {
             ServerAvailability::Limited { max_per_s } => {
                 (max_per_s * usual_call.as_secs_f64()).min(1.0)
@@ -108,16 +110,16 @@
         }
     }
 
-    pub(super) fn answered(&mut self, slowness: f64, now: Duration) {
+    pub(super) fn record_answer(&mut self, slowness: f64, now: Duration) {
         self.losses = 0;
-        self.slowness += SAMPLE_SHARE * (slowness.max(0.5) - self.slowness);
+        self.slowness += SAMPLE_WEIGHT * (slowness.max(0.5) - self.slowness);
         self.sampled_at = now;
     }
 
-    pub(super) fn lost(&mut self, now: Duration) {
-        let out = FIRST_OUT * (1 << self.losses.min(MOST_DOUBLINGS));
+    pub(super) fn record_loss(&mut self, now: Duration) {
+        let ejection = MIN_EJECTION * (1 << self.losses.min(MAX_DOUBLINGS));
         self.losses += 1;
-        self.out_until = now + out;
+        self.ejected_until = now + ejection;
     }
 }
 
@@ -128,64 +130,66 @@
     pub(super) servers: BTreeMap<ServerIncarnation, StageServer>,
     pub(super) queue: Queue,
     recent_sends: RecentSends,
-    arriving: f64,
-    arrived_at: Duration,
+    arrival_load: f64,
+    arrival_load_at: Duration,
 }
 
 impl PoolState {
-    /// Time in which the servers make so many pieces in full batches.
-    pub(super) fn time_for(&self, pieces: usize, now: Duration) -> Duration {
+    /// Time in which the servers complete a number of pieces in full batches.
+    pub(super) fn processing_time(&self, pieces: usize, now: Duration) -> Duration {
         let Some(spec) = self.spec else {
             return Duration::ZERO;
         };
         let max_pieces = u32::try_from(spec.max_pieces.max(1)).unwrap_or(1);
         let piece_time = spec.piece_time + spec.call_time / max_pieces;
         let work = piece_time.saturating_mul(u32::try_from(pieces).unwrap_or(u32::MAX));
-        let servers = self.in_use(now);
+        let servers = self.usable(now);
         let usual_call = spec.call_time_for(spec.max_pieces);
         let speed_of = |server: &StageServer| {
-            (1.0 / server.slowness(now)).min(server.part_by_limit(usual_call))
+            (1.0 / server.slowness(now)).min(server.limit_fraction(usual_call))
         };
         let speed: f64 = servers.map(|(_, server)| speed_of(server)).sum();
         let slots = f64::from(u32::try_from(spec.slots.max(1)).unwrap_or(1));
-        work.div_f64((speed * slots).max(LEAST_SPEED))
+        work.div_f64((speed * slots).max(MIN_SPEED))
     }
 
-    /// Counts work that arrives.
-    pub(super) fn note_arriving(&mut self, work: Duration, now: Duration) {
-        let faded = self.arriving(now);
-        self.arriving = faded + work.as_secs_f64() / ARRIVAL_WINDOW.as_secs_f64();
-        self.arrived_at = now;
+    /// Adds arriving work to the average.
+    pub(super) fn add_arrival(&mut self, work: Duration, now: Duration) {
+        let decayed = self.arrival_load(now);
+        self.arrival_load = decayed + work.as_secs_f64() / ARRIVAL_WINDOW.as_secs_f64();
+        self.arrival_load_at = now;
     }
 
-    /// Part of the servers' time that arriving work takes, over the last seconds.
-    pub(super) fn arriving(&self, now: Duration) -> f64 {
-        let elapsed = now.saturating_sub(self.arrived_at).as_secs_f64();
-        self.arriving * (-elapsed / ARRIVAL_WINDOW.as_secs_f64()).exp()
+    /// Fraction of the servers' time that arriving work takes, averaged over the last seconds.
+    pub(super) fn arrival_load(&self, now: Duration) -> f64 {
+        let elapsed = now.saturating_sub(self.arrival_load_at).as_secs_f64();
+        self.arrival_load * (-elapsed / ARRIVAL_WINDOW.as_secs_f64()).exp()
     }
 
-    /// Fewest pieces in a call with which the servers make what arrives and have some time left.
+    /// Smallest batch size with which the servers keep up with arriving work and retain some spare
+    /// time.
     ///
-    /// Each call costs much by itself. Spread over all free servers, a few pieces each, work that
-    /// takes half of the servers' time in full calls takes all of it, and later pieces wait; filled
-    /// to the brim, calls take long while servers stand idle.
-    pub(super) fn least_share(&self, spec: BatchSpec, now: Duration) -> usize {
-        let most = spec.max_pieces.max(1);
+    /// Each call has a high fixed cost. Work that takes half of the servers' time in full calls
+    /// takes all of it if it is spread over all free servers in calls of a few pieces, and later
+    /// pieces wait; with only full calls, calls take long while other servers are idle.
+    pub(super) fn min_batch_size(&self, spec: BatchSpec, now: Duration) -> usize {
+        let max_pieces = spec.max_pieces.max(1);
         let (call, piece) = (spec.call_time.as_secs_f64(), spec.piece_time.as_secs_f64());
-        let call_part = call / as_f64(most);
-        // What the servers have for each piece that arrives, of the part that may be used.
-        let time_each = (piece + call_part) * BUSY_PART / self.arriving(now).max(LEAST_ARRIVING);
+        let call_part = call / as_f64(max_pieces);
+        // Usable server time per arriving piece.
+        let time_each =
+            (piece + call_part) * BUSY_FRACTION / self.arrival_load(now).max(MIN_ARRIVAL_LOAD);
         let left_for_calls = time_each - piece;
-        (1..most)
+        (1..max_pieces)
             .find(|pieces| call / as_f64(*pieces) <= left_for_calls)
-            .unwrap_or(most)
+            .unwrap_or(max_pieces)
     }
 
     pub(super) const fn set_spec(&mut self, spec: BatchSpec) {
         self.spec = Some(spec);
     }
 
-    /// Servers that are gone or leave drop out of the account; their calls end by themselves.
+    /// Replaces the servers. Calls to servers that are removed end by themselves.
     pub(super) fn set_servers(&mut self, listed: &[(&ServerRecord, ServerAvailability)]) {
         self.servers
             .retain(|id, _| listed.iter().any(|(record, _)| record.incarnation == *id));
@@ -198,89 +202,91 @@
         let is_bounded = |server: &StageServer| server.server_availability.rate_limit().is_some();
         let servers = &self.servers;
         self.recent_sends
-            .retain(|life| servers.get(life).is_some_and(is_bounded));
+            .retain(|incarnation| servers.get(incarnation).is_some_and(is_bounded));
     }
 
-    /// Whether operators have evacuated the zones of all its servers.
+    /// Whether all its servers are in zones that operators have evacuated.
     pub(super) fn is_evacuated(&self) -> bool {
         let mut servers = self.servers.values();
         !self.servers.is_empty() && servers.all(|server| !server.server_availability.is_usable())
     }
 
-    /// Counts a call to a server, if its calls are bounded.
-    pub(super) fn count_send(&mut self, server: &ServerIncarnation, now: Duration) {
+    /// Counts a call to a server whose send rate is limited.
+    pub(super) fn record_send(&mut self, server: &ServerIncarnation, now: Duration) {
         let state = self.servers.get(server);
         if let Some(share) = state.and_then(|server| server.send_share(now)) {
-            // Asked for in `free` a moment ago.
+            // `available` has checked the share just before.
             self.recent_sends.try_send(server, share, now);
         }
     }
 
-    /// Room of a server that nothing takes.
+    /// Free result storage of a server.
     pub(super) fn free_bytes(&self, server: &ServerIncarnation, now: Duration) -> u64 {
         let Some((spec, server)) = self.spec.zip(self.servers.get(server)) else {
             return 0;
         };
-        let taken_bytes = server.used_bytes + server.others_bytes(spec.result_retention, now);
-        usable_bytes(spec).saturating_sub(taken_bytes)
+        let unavailable_bytes =
+            server.reserved_bytes + server.untracked_bytes(spec.result_retention, now);
+        usable_bytes(spec).saturating_sub(unavailable_bytes)
     }
 
-    /// Notes results that a server may keep under handles that nobody knows.
+    /// Records that a server may store results whose handles the owner does not know.
     ///
-    /// Guards against a call that was given up, whose server goes on with it, and against results
-    /// that nobody frees, as after an owner's death: sent as if that room were free, the next calls
-    /// would find none. Such results lapse, so their room comes back by and by.
-    pub(super) fn note_unknown(&mut self, server: &ServerIncarnation, bytes: u64, now: Duration) {
+    /// Guards against a timed-out call that the server goes on with, and against results that are
+    /// never freed, as after an owner's death: if their storage counted as free, the next calls
+    /// would find none. Such results expire, so the storage becomes free again over time.
+    pub(super) fn add_untracked(&mut self, server: &ServerIncarnation, bytes: u64, now: Duration) {
         if let Some((spec, server)) = self.spec.zip(self.servers.get_mut(server)) {
-            server.others_bytes = server.others_bytes(spec.result_retention, now) + bytes;
-            server.others_at = now;
+            server.untracked_bytes = server.untracked_bytes(spec.result_retention, now) + bytes;
+            server.untracked_at = now;
         }
     }
 
     pub(super) fn reserve(&mut self, server: &ServerIncarnation, bytes: u64) {
         if let Some(server) = self.servers.get_mut(server) {
-            server.used_bytes += bytes;
+            server.reserved_bytes += bytes;
         }
     }
 
-    pub(super) fn give_back(&mut self, server: &ServerIncarnation, bytes: u64) {
+    pub(super) fn release(&mut self, server: &ServerIncarnation, bytes: u64) {
         if let Some(server) = self.servers.get_mut(server) {
-            server.used_bytes = server.used_bytes.saturating_sub(bytes);
+            server.reserved_bytes = server.reserved_bytes.saturating_sub(bytes);
         }
     }
 
     /// Whether a server can take a call now.
-    pub(super) fn has_free(&self, now: Duration) -> bool {
-        self.free(now).next().is_some()
+    pub(super) fn has_available(&self, now: Duration) -> bool {
+        self.available(now).next().is_some()
     }
 
     /// Servers that can take a call now.
-    pub(super) fn free(
+    pub(super) fn available(
         &self,
         now: Duration,
     ) -> impl Iterator<Item = (&ServerIncarnation, &StageServer)> {
         let slots = self.spec.map_or(0, |spec| spec.slots.max(1));
-        let is_free = move |server: &StageServer| server.calls < slots && server.busy_until <= now;
-        let has_share = move |life: &ServerIncarnation, server: &StageServer| {
+        let has_slot = move |server: &StageServer| server.calls < slots && server.busy_until <= now;
+        let has_share = move |incarnation: &ServerIncarnation, server: &StageServer| {
             let share = server.send_share(now);
-            share.is_none_or(|share| self.recent_sends.can_send(life, share, now))
+            share.is_none_or(|share| self.recent_sends.can_send(incarnation, share, now))
         };
-        let in_use = self.in_use(now);
-        in_use.filter(move |(life, server)| is_free(server) && has_share(life, server))
+        let usable = self.usable(now);
+        usable
+            .filter(move |(incarnation, server)| has_slot(server) && has_share(incarnation, server))
     }
 
-    /// Servers that take calls.
-    pub(super) fn in_use(
+    /// Servers that may be used.
+    pub(super) fn usable(
         &self,
         now: Duration,
     ) -> impl Iterator<Item = (&ServerIncarnation, &StageServer)> {
         let servers = self.servers.iter();
         servers.filter(move |(_, server)| {
-            server.out_until <= now && server.server_availability.is_usable()
+            server.ejected_until <= now && server.server_availability.is_usable()
         })
     }
 }
 
 const fn usable_bytes(spec: BatchSpec) -> u64 {
-    spec.result_capacity_bytes / 100 * USED_ROOM_PERCENT
+    spec.result_capacity_bytes / 100 * USABLE_CAPACITY_PERCENT
 }
--- a/crates/core/src/process/batcher/queue.rs
+++ b/crates/core/src/process/batcher/queue.rs
@@ -1,7 +1,7 @@
 //! The stages that wait for one service, in the order in which their pieces are sent.
 //!
-//! Stages with results of one size wait in one lane, so that a server with little room left finds
-//! what fits without a look at all that does not.
+//! Stages with the same result size share a lane, so that a server with little free storage finds a
+//! result that fits without examining those that do not.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,21 +11,21 @@
 
 use super::JobId;
 
-/// A stage with pieces that wait: requests that can meet their aim first, by their place.
+/// A stage with waiting pieces; on-time requests come first, then in the order of scheduled start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Entry {
     pub(super) is_late: bool,
-    pub(super) place: Duration,
+    pub(super) scheduled_start: Duration,
     pub(super) job: JobId,
     pub(super) stage: usize,
-    /// Room that each of its results takes.
+    /// Storage that each of its results occupies.
     pub(super) result_bytes: u64,
 }
 
-/// Waiting stages, kept in order as they come and go.
+/// Waiting stages in order.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    /// By the room that one result takes; lanes without entries are dropped.
+    /// By result size; empty lanes are dropped.
     lanes: BTreeMap<u64, BTreeSet<Entry>>,
 }
 
@@ -65,16 +65,16 @@
 
 type Lane<'a> = (u64, Peekable<btree_set::Iter<'a, Entry>>);
 
-/// Goes through waiting stages in their order.
+/// Iterates over waiting stages in order.
 pub(super) struct InOrder<'a> {
     lanes: Vec<Lane<'a>>,
 }
 
 impl<'a> InOrder<'a> {
-    /// The next stage of which a result fits into so much room.
-    pub(super) fn next_within(&mut self, room_bytes: u64) -> Option<&'a Entry> {
+    /// The next stage whose results fit into a capacity.
+    pub(super) fn next_within(&mut self, capacity_bytes: u64) -> Option<&'a Entry> {
         let lanes = self.lanes.iter_mut();
-        let fitting = lanes.filter(|(result_bytes, _)| *result_bytes <= room_bytes);
+        let fitting = lanes.filter(|(result_bytes, _)| *result_bytes <= capacity_bytes);
         let heads = fitting.filter_map(|(_, lane)| Some((*lane.peek()?, lane)));
         let (_, lane) = heads.min_by_key(|(head, _)| *head)?;
         lane.next()
--- a/crates/core/tests/batcher/burst.rs
+++ b/crates/core/tests/batcher/burst.rs
@@ -1,113 +1,119 @@
-//! What a burst costs the owner: looks at what waits, whatever it is that cannot go on.
+//! What a burst costs the owner: the number of waiting stages it examines.
 
 use amaranthscale_core::process::JobEvent;
 
-use super::bench::{Bench, ENCODE, ROOM_BYTES, ms};
+use super::fixture::{CAPACITY_BYTES, ENCODE, Fixture, ms};
 
-/// Nearly all of a server's room.
-const LARGE_BYTES: u64 = ROOM_BYTES / 10 * 9;
+/// Nearly the whole storage of a server.
+const LARGE_RESULT_BYTES: u64 = CAPACITY_BYTES / 10 * 9;
 
-/// Stages that are looked at when so many requests wait for servers that are free but full.
-fn looked_at_without_room(waiting: usize) -> u64 {
-    let mut bench = Bench::new(&["north"; 4]);
+/// Stages that are examined while a number of requests wait for free servers without free storage.
+fn examined_without_storage(waiting: usize) -> u64 {
+    let mut fixture = Fixture::new(&["north"; 4]);
     for _ in 0..4 {
-        let order = bench.chain(&[(ENCODE, 1, LARGE_BYTES)]);
-        bench.submit(order);
+        let spec = fixture.chain(&[(ENCODE, 1, LARGE_RESULT_BYTES)]);
+        fixture.submit(spec);
     }
-    for batch in bench.next_batches() {
-        bench.make(&batch);
+    for batch in fixture.next_batches() {
+        fixture.complete(&batch);
     }
     for _ in 0..waiting {
-        let mut order = bench.chain(&[(ENCODE, 1, LARGE_BYTES)]);
-        order.target_latency_left = ms(60_000);
-        bench.submit(order);
+        let mut spec = fixture.chain(&[(ENCODE, 1, LARGE_RESULT_BYTES)]);
+        spec.target_latency_left = ms(60_000);
+        fixture.submit(spec);
     }
-    let before = bench.batcher.examined_stages();
-    assert!(bench.next_batches().is_empty());
-    bench.batcher.examined_stages() - before
+    let before = fixture.batcher.examined_stages();
+    assert!(fixture.next_batches().is_empty());
+    fixture.batcher.examined_stages() - before
 }
 
-/// Engines read large results late, and all servers are free but out of room. Each free server
-/// looked at the whole queue at each event, so the owner had less time the longer the queue was,
-/// and after a burst it never came back.
+/// Engines read large results late, and all servers are free but out of storage. Each free server
+/// searched the whole queue at each event, so the owner had less time the longer the queue was, and
+/// never recovered from a burst.
 #[test]
-fn servers_without_room_look_at_no_more_the_more_waits() {
-    assert_eq!(looked_at_without_room(20), looked_at_without_room(2_000));
+fn stages_examined_without_free_storage_do_not_grow_with_the_queue() {
+    assert_eq!(
+        examined_without_storage(20),
+        examined_without_storage(2_000)
+    );
 }
 
-/// Requests that are in time wait for the busy server near their reader, and late ones for spare time,
-/// which there is none of. The free server must see that at the first late one, however many wait.
+/// On-time requests wait for the busy server near their reader, and late ones for spare capacity,
+/// of which there is none. For the free server, the search must stop at the first late request,
+/// however many wait.
 #[test]
-fn late_requests_without_spare_time_are_seen_once() {
-    let mut bench = Bench::new(&["north", "south"]);
-    let order = bench.chain(&[(ENCODE, 1, 200_000)]);
-    bench.submit(order);
-    let running = bench.next_batch();
+fn the_search_stops_at_the_first_late_request_without_spare_capacity() {
+    let mut fixture = Fixture::new(&["north", "south"]);
+    let spec = fixture.chain(&[(ENCODE, 1, 200_000)]);
+    fixture.submit(spec);
+    let running = fixture.next_batch();
     assert_eq!(running.zone.as_str(), "north");
     let in_time = 4;
     for _ in 0..in_time {
-        let order = bench.chain(&[(ENCODE, 5, 110_000)]);
-        bench.submit(order);
+        let spec = fixture.chain(&[(ENCODE, 5, 110_000)]);
+        fixture.submit(spec);
     }
     for _ in 0..30 {
-        let mut order = bench.chain(&[(ENCODE, 1, 100)]);
-        order.target_latency_left = ms(50);
-        bench.submit(order);
+        let mut spec = fixture.chain(&[(ENCODE, 1, 100)]);
+        spec.target_latency_left = ms(50);
+        fixture.submit(spec);
     }
-    bench.advance(20);
-    let before = bench.batcher.examined_stages();
+    fixture.advance(20);
+    let before = fixture.batcher.examined_stages();
 
-    assert!(bench.next_batches().is_empty());
+    assert!(fixture.next_batches().is_empty());
 
-    assert_eq!(bench.batcher.examined_stages() - before, in_time + 1);
+    assert_eq!(fixture.batcher.examined_stages() - before, in_time + 1);
 }
 
-/// Large results wait for room. Small ones behind them fit, and must not wait for it.
+/// Large results wait for storage. Small ones behind them fit, and must not wait as well.
 #[test]
-fn a_small_result_goes_where_no_large_one_fits() {
-    let mut bench = Bench::new(&["north"]);
-    let order = bench.chain(&[(ENCODE, 1, LARGE_BYTES)]);
-    bench.submit(order);
-    let first = bench.next_batch();
-    bench.make(&first);
+fn a_small_result_is_sent_where_no_large_one_fits() {
+    let mut fixture = Fixture::new(&["north"]);
+    let spec = fixture.chain(&[(ENCODE, 1, LARGE_RESULT_BYTES)]);
+    fixture.submit(spec);
+    let first = fixture.next_batch();
+    fixture.complete(&first);
     for _ in 0..50 {
-        let order = bench.chain(&[(ENCODE, 1, LARGE_BYTES)]);
-        bench.submit(order);
+        let spec = fixture.chain(&[(ENCODE, 1, LARGE_RESULT_BYTES)]);
+        fixture.submit(spec);
     }
-    let small = bench.chain(&[(ENCODE, 1, 100)]);
+    let small = fixture.chain(&[(ENCODE, 1, 100)]);
     let call = small.call.clone();
-    let job = bench.submit(small);
+    let job = fixture.submit(small);
 
-    let batch = bench.next_batch();
-    bench.make(&batch);
+    let batch = fixture.next_batch();
+    fixture.complete(&batch);
 
     assert_eq!(batch.items.len(), 1);
     assert_eq!(batch.items[0].call, call);
     let is_its = |event: &JobEvent| matches!(event, JobEvent::Done(done, ..) if *done == job);
-    assert!(bench.events().iter().any(is_its));
+    assert!(fixture.events().iter().any(is_its));
 }
 
-/// Calls that eight requests' pieces go in to four free servers, after so many requests of ten pieces.
-fn calls_after(requests: usize) -> usize {
-    let mut bench = Bench::new(&["north"; 4]);
+/// Number of calls to four free servers for the pieces of eight requests, after a number of
+/// requests with ten pieces each.
+fn calls_after_load(requests: usize) -> usize {
+    let mut fixture = Fixture::new(&["north"; 4]);
     for _ in 0..requests {
-        let order = bench.chain(&[(ENCODE, 10, 10)]);
-        bench.submit(order);
-        for batch in bench.next_batches() {
-            bench.make(&batch);
+        let spec = fixture.chain(&[(ENCODE, 10, 10)]);
+        fixture.submit(spec);
+        for batch in fixture.next_batches() {
+            fixture.complete(&batch);
         }
     }
     for _ in 0..8 {
-        let order = bench.chain(&[(ENCODE, 1, 10)]);
-        bench.submit(order);
+        let spec = fixture.chain(&[(ENCODE, 1, 10)]);
+        fixture.submit(spec);
     }
-    bench.next_batches().len()
+    fixture.next_batches().len()
 }
 
-/// A service is asked for nearly as much as its servers make in full calls. Spread two by two over all
-/// that happen to be free, pieces take all servers' time, and those that come next find none free.
+/// A service has a load close to what its servers complete in full calls. If pieces were spread two
+/// by two over all servers that happen to be free, they would take all servers' time, and the next
+/// pieces would find none free.
 #[test]
-fn pieces_are_spread_thin_only_while_servers_have_time() {
-    assert_eq!(calls_after(0), 4);
-    assert_eq!(calls_after(24), 1);
+fn pieces_are_spread_over_servers_only_at_low_load() {
+    assert_eq!(calls_after_load(0), 4);
+    assert_eq!(calls_after_load(24), 1);
 }
--- a/crates/core/tests/batcher/ends.rs
+++ b/crates/core/tests/batcher/ends.rs
@@ -1,169 +1,169 @@
-//! Calls that end otherwise than with all pieces made.
+//! Calls that end without all pieces completed.
 
 use amaranthscale_core::process::{BatchEnd, JobEvent, JobFailure, PieceEnd};
 
-use super::bench::{Bench, ENCODE, RETRIEVE, ms};
+use super::fixture::{ENCODE, Fixture, RETRIEVE, ms};
 
 #[test]
-fn a_job_is_done_when_its_last_stage_is_made() {
-    let mut bench = Bench::new(&["north"]);
-    let order = bench.chain(&[(ENCODE, 1, 100), (RETRIEVE, 2, 100)]);
-    let job = bench.submit(order);
-    let first = bench.next_batch();
-    bench.advance(210);
-    bench.make(&first);
-    assert!(bench.events().is_empty());
-    let second = bench.next_batch();
-    bench.advance(220);
-
-    let made = bench.make(&second);
-
-    let events = bench.events();
+fn a_job_is_done_when_its_last_stage_is_completed() {
+    let mut fixture = Fixture::new(&["north"]);
+    let spec = fixture.chain(&[(ENCODE, 1, 100), (RETRIEVE, 2, 100)]);
+    let job = fixture.submit(spec);
+    let first = fixture.next_batch();
+    fixture.advance(210);
+    fixture.complete(&first);
+    assert!(fixture.events().is_empty());
+    let second = fixture.next_batch();
+    fixture.advance(220);
+
+    let completed = fixture.complete(&second);
+
+    let events = fixture.events();
     let [JobEvent::Done(done, handles, times)] = &events[..] else {
         panic!("{events:?}");
     };
-    assert_eq!((*done, handles), (job, &made));
+    assert_eq!((*done, handles), (job, &completed));
     assert_eq!(times[0].worked, ms(210));
     assert_eq!(times[1].worked, ms(220));
 }
 
-/// A server crashes with a call at work. Its pieces must be made by another one, and the server
-/// must not get the next call at once.
+/// A server crashes during a call. The call's pieces must go to another server, and the server must
+/// not get the next call at once.
 #[test]
-fn pieces_of_a_lost_call_go_to_another_server() {
-    let mut bench = Bench::new(&["north", "north"]);
-    let order = bench.chain(&[(ENCODE, 1, 100)]);
-    bench.submit(order);
-    let batch = bench.next_batch();
-    bench.advance(300);
+fn pieces_of_an_unanswered_call_go_to_another_server() {
+    let mut fixture = Fixture::new(&["north", "north"]);
+    let spec = fixture.chain(&[(ENCODE, 1, 100)]);
+    fixture.submit(spec);
+    let batch = fixture.next_batch();
+    fixture.advance(300);
 
-    bench.end(&batch, BatchEnd::NoAnswer);
+    fixture.end(&batch, BatchEnd::NoAnswer);
 
-    let again = bench.next_batch();
+    let again = fixture.next_batch();
     assert_ne!(again.server, batch.server);
     assert_eq!(again.items[0].call, batch.items[0].call);
 }
 
 #[test]
-fn a_full_server_is_tried_again_a_little_later() {
-    let mut bench = Bench::new(&["north"]);
-    let order = bench.chain(&[(ENCODE, 1, 100)]);
-    bench.submit(order);
-    let batch = bench.next_batch();
+fn a_server_that_rejected_a_call_is_retried_after_a_pause() {
+    let mut fixture = Fixture::new(&["north"]);
+    let spec = fixture.chain(&[(ENCODE, 1, 100)]);
+    fixture.submit(spec);
+    let batch = fixture.next_batch();
 
-    bench.end(&batch, BatchEnd::Rejected);
+    fixture.end(&batch, BatchEnd::Rejected);
 
-    assert!(bench.next_batches().is_empty());
-    bench.advance(100);
-    assert_eq!(bench.next_batch().items.len(), 1);
+    assert!(fixture.next_batches().is_empty());
+    fixture.advance(100);
+    assert_eq!(fixture.next_batch().items.len(), 1);
 }
 
-/// A server dies with results that later pieces need. Every call that reads them would fail, so
-/// the inputs are made anew, all of them, since the answer does not say which are gone.
+/// A server dies with results that later pieces need. Every call that reads them would fail, so all
+/// inputs are recomputed, since the answer does not tell which are missing.
 #[test]
-fn inputs_that_are_gone_are_made_anew() {
-    let mut bench = Bench::new(&["north"]);
-    let order = bench.chain(&[(ENCODE, 2, 100), (RETRIEVE, 1, 100)]);
-    bench.submit(order);
-    let first = bench.next_batch();
-    bench.advance(220);
-    let lost = bench.make(&first);
-    let second = bench.next_batch();
-    bench.advance(10);
-
-    bench.end(&second, BatchEnd::Pieces(vec![PieceEnd::InputMissing]));
-
-    let again = bench.next_batch();
+fn missing_inputs_are_recomputed() {
+    let mut fixture = Fixture::new(&["north"]);
+    let spec = fixture.chain(&[(ENCODE, 2, 100), (RETRIEVE, 1, 100)]);
+    fixture.submit(spec);
+    let first = fixture.next_batch();
+    fixture.advance(220);
+    let lost = fixture.complete(&first);
+    let second = fixture.next_batch();
+    fixture.advance(10);
+
+    fixture.end(&second, BatchEnd::Pieces(vec![PieceEnd::InputMissing]));
+
+    let again = fixture.next_batch();
     assert_eq!(again.service.as_str(), ENCODE);
     assert_eq!(again.items.len(), 2);
-    assert_eq!(bench.freed(), lost, "what is left of them is dropped");
-    bench.advance(220);
-    bench.make(&again);
-    assert_eq!(bench.next_batch().service.as_str(), RETRIEVE);
+    assert_eq!(fixture.freed(), lost, "the remaining ones are freed");
+    fixture.advance(220);
+    fixture.complete(&again);
+    assert_eq!(fixture.next_batch().service.as_str(), RETRIEVE);
 }
 
 #[test]
 fn a_piece_that_keeps_failing_fails_its_job() {
-    let mut bench = Bench::new(&["north"]);
-    let order = bench.chain(&[(ENCODE, 1, 100)]);
-    let job = bench.submit(order);
+    let mut fixture = Fixture::new(&["north"]);
+    let spec = fixture.chain(&[(ENCODE, 1, 100)]);
+    let job = fixture.submit(spec);
 
     for _ in 0..13 {
-        let batch = bench.next_batch();
-        bench.advance(20);
-        bench.end(&batch, BatchEnd::Pieces(vec![PieceEnd::Failed]));
+        let batch = fixture.next_batch();
+        fixture.advance(20);
+        fixture.end(&batch, BatchEnd::Pieces(vec![PieceEnd::Failed]));
     }
 
     let failed = JobEvent::Failed(job, JobFailure::Failing);
-    assert_eq!(bench.events(), [failed]);
-    bench.advance(100);
-    assert!(bench.next_batches().is_empty());
+    assert_eq!(fixture.events(), [failed]);
+    fixture.advance(100);
+    assert!(fixture.next_batches().is_empty());
 }
 
 #[test]
-fn a_job_whose_deadline_has_passed_is_given_up() {
-    let mut bench = Bench::new(&["north"]);
-    let busy = bench.chain(&[(ENCODE, 10, 100)]);
-    bench.submit(busy);
-    let _running = bench.next_batch();
-    let mut order = bench.chain(&[(ENCODE, 1, 100)]);
-    order.deadline_left = ms(1_500);
-    let job = bench.submit(order);
-
-    bench.advance(1_600);
-    bench.next_batches();
-
-    assert_eq!(bench.events(), [JobEvent::Failed(job, JobFailure::Late)]);
+fn a_job_fails_when_its_deadline_has_passed() {
+    let mut fixture = Fixture::new(&["north"]);
+    let busy = fixture.chain(&[(ENCODE, 10, 100)]);
+    fixture.submit(busy);
+    let _running = fixture.next_batch();
+    let mut spec = fixture.chain(&[(ENCODE, 1, 100)]);
+    spec.deadline_left = ms(1_500);
+    let job = fixture.submit(spec);
+
+    fixture.advance(1_600);
+    fixture.next_batches();
+
+    assert_eq!(fixture.events(), [JobEvent::Failed(job, JobFailure::Late)]);
 }
 
-/// Servers are far behind for many seconds. A request that was taken to run in what is left over is
-/// given up once it could not be done within two of its aims, here 210 ms before their end, so that
-/// its caller can come back, and not at its deadline.
+/// Servers are overloaded for many seconds. A request that was accepted to run on spare capacity
+/// fails once it could not be completed within twice its target latency, here 210 ms before the end
+/// of that time, so that its caller can retry before the deadline.
 #[test]
-fn a_request_that_has_not_begun_is_not_held_to_its_deadline() {
-    let mut bench = Bench::new(&["north"]);
-    let busy = bench.chain(&[(ENCODE, 10, 100)]);
-    bench.submit(busy);
-    let _running = bench.next_batch();
-    let mut order = bench.chain(&[(ENCODE, 1, 100)]);
-    order.target_latency = ms(500);
-    order.target_latency_left = order.target_latency;
-    let job = bench.submit(order);
-
-    bench.advance(700);
-    bench.next_batches();
-    assert!(bench.events().is_empty());
-    bench.advance(100);
-    bench.next_batches();
-
-    assert_eq!(bench.events(), [JobEvent::Failed(job, JobFailure::Late)]);
+fn a_request_that_has_not_started_fails_before_its_deadline() {
+    let mut fixture = Fixture::new(&["north"]);
+    let busy = fixture.chain(&[(ENCODE, 10, 100)]);
+    fixture.submit(busy);
+    let _running = fixture.next_batch();
+    let mut spec = fixture.chain(&[(ENCODE, 1, 100)]);
+    spec.target_latency = ms(500);
+    spec.target_latency_left = spec.target_latency;
+    let job = fixture.submit(spec);
+
+    fixture.advance(700);
+    fixture.next_batches();
+    assert!(fixture.events().is_empty());
+    fixture.advance(100);
+    fixture.next_batches();
+
+    assert_eq!(fixture.events(), [JobEvent::Failed(job, JobFailure::Late)]);
 }
 
 #[test]
-fn an_end_that_comes_twice_counts_once() {
-    let mut bench = Bench::new(&["north"]);
-    let order = bench.chain(&[(ENCODE, 1, 100)]);
-    bench.submit(order);
-    let batch = bench.next_batch();
-    bench.advance(210);
-    bench.make(&batch);
-    bench.events();
-
-    bench.make(&batch);
-
-    assert!(bench.events().is_empty());
+fn a_repeated_call_end_is_ignored() {
+    let mut fixture = Fixture::new(&["north"]);
+    let spec = fixture.chain(&[(ENCODE, 1, 100)]);
+    fixture.submit(spec);
+    let batch = fixture.next_batch();
+    fixture.advance(210);
+    fixture.complete(&batch);
+    fixture.events();
+
+    fixture.complete(&batch);
+
+    assert!(fixture.events().is_empty());
 }
 
 #[test]
-fn a_server_that_has_left_gets_no_more_calls() {
-    let mut bench = Bench::new(&["north", "north"]);
-    bench.set_servers(&["north"]);
+fn a_removed_server_gets_no_calls() {
+    let mut fixture = Fixture::new(&["north", "north"]);
+    fixture.set_servers(&["north"]);
     for _ in 0..4 {
-        let order = bench.chain(&[(ENCODE, 5, 100)]);
-        bench.submit(order);
+        let spec = fixture.chain(&[(ENCODE, 5, 100)]);
+        fixture.submit(spec);
     }
 
-    let batches = bench.next_batches();
+    let batches = fixture.next_batches();
 
     assert_eq!(batches.len(), 1);
     assert_eq!(batches[0].server.id().as_str(), "encode-0");
--- a/crates/core/tests/batcher/bench.rs
+++ b/crates/core/tests/batcher/fixture.rs
@@ -13,42 +13,42 @@
 pub const ENCODE: &str = "encode";
 pub const RETRIEVE: &str = "retrieve";
 pub const RERANK: &str = "rerank";
-/// Room of each server.
-pub const ROOM_BYTES: u64 = 1_000_000;
+/// Result storage of each server.
+pub const CAPACITY_BYTES: u64 = 1_000_000;
 
 pub const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-pub struct Bench {
+pub struct Fixture {
     pub batcher: Batcher,
     pub now: Duration,
     calls: u64,
     handles: u64,
     zones: Vec<String>,
-    /// Servers that have started again, and how often.
+    /// Servers that were restarted, and how often.
     restarts: BTreeMap<String, u64>,
-    /// What may be sent to the servers of a zone, where it is not everything.
-    uses: BTreeMap<String, ServerAvailability>,
+    /// Availability of the servers of a zone, where it is restricted.
+    availabilities: BTreeMap<String, ServerAvailability>,
 }
 
-impl Bench {
+impl Fixture {
     /// One server of each service in each of the availability zones.
     pub fn new(zones: &[&str]) -> Self {
-        let mut bench = Self {
+        let mut fixture = Self {
             batcher: Batcher::new(),
             now: ms(10_000),
             calls: 0,
             handles: 0,
             zones: Vec::new(),
             restarts: BTreeMap::new(),
-            uses: BTreeMap::new(),
+            availabilities: BTreeMap::new(),
         };
-        bench.set_servers(zones);
-        bench
+        fixture.set_servers(zones);
+        fixture
     }
 
-    /// Lets another owner take over; the one before is given back.
+    /// Replaces the owner; returns the previous one.
     pub fn change_owner(&mut self) -> Batcher {
         let before = std::mem::replace(&mut self.batcher, Batcher::new());
         let zones = self.zones.clone();
@@ -57,25 +57,25 @@
         before
     }
 
-    /// Lets a server start again under its id.
+    /// Restarts a server under its id.
     pub fn restart(&mut self, id: &str) -> ServerIncarnation {
         *self.restarts.entry(id.to_owned()).or_default() += 1;
         let zones = self.zones.clone();
         let zones: Vec<_> = zones.iter().map(String::as_str).collect();
         self.set_servers(&zones);
-        self.life(id)
+        self.incarnation(id)
     }
 
-    /// Says what may be sent to the servers of a zone from now on.
-    pub fn set_use(&mut self, zone: &str, server_use: ServerAvailability) {
-        self.uses.insert(zone.to_owned(), server_use);
+    /// Sets the availability of the servers of a zone.
+    pub fn set_availability(&mut self, zone: &str, availability: ServerAvailability) {
+        self.availabilities.insert(zone.to_owned(), availability);
         let zones = self.zones.clone();
         let zones: Vec<_> = zones.iter().map(String::as_str).collect();
         self.set_servers(&zones);
     }
 
-    /// The life of a server now.
-    pub fn life(&self, id: &str) -> ServerIncarnation {
+    /// The current incarnation of a server.
+    pub fn incarnation(&self, id: &str) -> ServerIncarnation {
         let restarts = self.restarts.get(id).copied().unwrap_or(0);
         let started = StartMs::new(1_000 + restarts);
         ServerIncarnation::new(id.parse().unwrap()).started_at(started)
@@ -86,19 +86,19 @@
         let services = [ENCODE, RETRIEVE, RERANK];
         let bounds = CallerBounds::default();
         let routing = Routing::new(RoutingVersion::new(1), bounds).with_pools(services.map(pool));
-        let life = &|service: &str, index| self.life(&format!("{service}-{index}"));
+        let incarnation = &|service: &str, index| self.incarnation(&format!("{service}-{index}"));
         let records = services.iter().flat_map(|service| {
             let servers = zones.iter().enumerate();
             servers.map(move |(index, zone)| ServerRecord {
-                incarnation: life(service, index),
+                incarnation: incarnation(service, index),
                 ..record(service, zone)
             })
         });
         let records: Vec<_> = records.collect();
-        let uses = &self.uses;
+        let availabilities = &self.availabilities;
         let with_use = records.iter().map(|record| {
-            let server_use = uses.get(record.zone.as_str()).copied();
-            (record, server_use.unwrap_or(ServerAvailability::Free))
+            let availability = availabilities.get(record.zone.as_str()).copied();
+            (record, availability.unwrap_or(ServerAvailability::Free))
         });
         self.batcher.set_servers(&routing, with_use, self.now);
     }
@@ -107,9 +107,9 @@
         self.now += ms(step_ms);
     }
 
-    /// Submits an order that must be taken.
-    pub fn submit(&mut self, order: JobSpec) -> JobId {
-        self.batcher.submit(order, self.now).unwrap()
+    /// Submits a job that must be accepted.
+    pub fn submit(&mut self, spec: JobSpec) -> JobId {
+        self.batcher.submit(spec, self.now).unwrap()
     }
 
     pub fn next_batches(&mut self) -> Vec<Batch> {
@@ -127,8 +127,8 @@
         self.batcher.batch_ended(batch.id, end, None, self.now);
     }
 
-    /// Ends a call with all its pieces made.
-    pub fn make(&mut self, batch: &Batch) -> Vec<ResultHandle> {
+    /// Ends a call with all its pieces completed.
+    pub fn complete(&mut self, batch: &Batch) -> Vec<ResultHandle> {
         let handles: Vec<_> = batch.items.iter().map(|_| self.handle()).collect();
         let ends = handles.iter().cloned().map(PieceEnd::Completed).collect();
         self.end(batch, BatchEnd::Pieces(ends));
@@ -140,23 +140,26 @@
         format!("10.0.0.1:80/{}", self.handles).parse().unwrap()
     }
 
-    /// Names of all results that are freed now.
+    /// Handles of all results that are freed now.
     pub fn freed(&mut self) -> Vec<ResultHandle> {
-        let frees = self.batcher.take_free_requests(|_server| true);
-        for free in &frees {
-            self.batcher.results_freed(free);
+        let requests = self.batcher.take_free_requests(|_server| true);
+        for request in &requests {
+            self.batcher.results_freed(request);
         }
-        frees.into_iter().flat_map(|free| free.handles).collect()
+        requests
+            .into_iter()
+            .flat_map(|request| request.handles)
+            .collect()
     }
 
-    /// Ends of jobs.
+    /// Events that end jobs.
     pub fn events(&mut self) -> Vec<JobEvent> {
         let events = self.batcher.take_events().into_iter();
         let is_end = |event: &JobEvent| matches!(event, JobEvent::Done(..) | JobEvent::Failed(..));
         events.filter(is_end).collect()
     }
 
-    /// An order of stages, each after the one before.
+    /// A job of stages that each depend on the one before.
     pub fn chain(&mut self, stages: &[(&str, usize, u64)]) -> JobSpec {
         self.calls += 1;
         let stages = stages.iter().enumerate();
@@ -194,7 +197,7 @@
             max_pieces: 10,
             call_time: ms(200),
             piece_time: ms(10),
-            result_capacity_bytes: ROOM_BYTES,
+            result_capacity_bytes: CAPACITY_BYTES,
             result_retention: ms(4_000),
         }),
         cold: None,
--- a/crates/core/tests/batcher/main.rs
+++ b/crates/core/tests/batcher/main.rs
@@ -1,14 +1,14 @@
-//! Batches of pieces: order, room, ends of calls, and random runs.
+//! Batches of pieces: scheduling, result storage, ends of calls, restarts, and random runs.
 
 #![expect(clippy::unwrap_used, reason = "fixtures of tests may panic")]
 
-mod bench;
+mod availability;
 mod burst;
-mod cut_off;
+mod connection_loss;
 mod ends;
-mod kept;
-mod lives;
-mod order;
+mod fixture;
 mod random;
-mod room;
-mod withheld;
+mod restarts;
+mod result_storage;
+mod retained_results;
+mod scheduling;
--- a/crates/core/tests/batcher/random.rs
+++ b/crates/core/tests/batcher/random.rs
@@ -1,8 +1,8 @@
 //! Random runs of the batcher with everything that can happen to a call or a request.
 //!
-//! What must hold in every run: a job is reported at most once; each result is freed exactly once;
-//! a server has one call at a time; a piece with inputs is given all of them; nothing names what an
-//! ended life of a server kept.
+//! Invariants of every run: a job is reported at most once; each result is freed exactly once; a
+//! server has one call at a time; a piece with inputs gets all of them; no result of an ended
+//! incarnation is used.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,10 +12,10 @@
 };
 use quickcheck::{Arbitrary, Gen};
 
-use super::bench::{Bench, ENCODE, RERANK, RETRIEVE};
+use super::fixture::{ENCODE, Fixture, RERANK, RETRIEVE};
 
-/// Runs in CI; `AMARANTH_RANDOM_SCHEDULES` asks for more.
-const USUAL_RUNS: u64 = 120;
+/// Runs in CI; `AMARANTH_RANDOM_SCHEDULES` sets another number.
+const DEFAULT_RUNS: u64 = 120;
 /// Steps of one run.
 const STEPS: usize = 400;
 
@@ -28,46 +28,46 @@
     open: BTreeSet<JobId>,
     reported: BTreeSet<JobId>,
     running: Vec<Batch>,
-    /// Results by the life that keeps them.
-    kept: BTreeMap<ResultHandle, ServerIncarnation>,
+    /// Stored results by the incarnation that stores them.
+    stored: BTreeMap<ResultHandle, ServerIncarnation>,
     freed: BTreeSet<ResultHandle>,
-    /// What each open job's gateway knows: its order, and what it was told to be made.
-    orders: BTreeMap<JobId, JobSpec>,
-    told: BTreeMap<JobId, BTreeMap<(usize, usize), RetainedResult>>,
+    /// What each open job's gateway knows: its spec, and the results that were reported to it.
+    specs: BTreeMap<JobId, JobSpec>,
+    reported_results: BTreeMap<JobId, BTreeMap<(usize, usize), RetainedResult>>,
 }
 
 impl World {
-    fn submit(&mut self, bench: &mut Bench, random: &mut Gen) {
+    fn submit(&mut self, fixture: &mut Fixture, random: &mut Gen) {
         let pieces = [pick(random, 3), 1 + pick(random, 6), pick(random, 4)];
         let pieces = pieces.map(|count| usize::try_from(count).unwrap());
-        let mut order = bench.chain(&[
+        let mut spec = fixture.chain(&[
             (ENCODE, pieces[0], 1_000),
             (RETRIEVE, pieces[1], 60_000),
             (RERANK, pieces[2], 120_000),
         ]);
-        order.value_tokens = pick(random, 5) * 1_000;
-        self.resubmit(bench, order);
+        spec.value_tokens = pick(random, 5) * 1_000;
+        self.submit_spec(fixture, spec);
     }
 
-    fn resubmit(&mut self, bench: &mut Bench, order: JobSpec) {
-        if let Ok(job) = bench.batcher.submit(order.clone(), bench.now) {
+    fn submit_spec(&mut self, fixture: &mut Fixture, spec: JobSpec) {
+        if let Ok(job) = fixture.batcher.submit(spec.clone(), fixture.now) {
             self.open.insert(job);
-            self.told.insert(job, told(&order));
-            self.orders.insert(job, order);
+            self.reported_results.insert(job, reported_results(&spec));
+            self.specs.insert(job, spec);
         }
     }
 
-    fn release(&mut self, bench: &mut Bench, random: &mut Gen) {
+    fn release(&mut self, fixture: &mut Fixture, random: &mut Gen) {
         let count = u64::try_from(self.open.len()).unwrap();
         if count > 0 {
             let index = usize::try_from(pick(random, count)).unwrap();
             let job = *self.open.iter().nth(index).unwrap();
             self.open.remove(&job);
-            bench.batcher.release(job);
+            fixture.batcher.release(job);
         }
     }
 
-    fn end_call(&mut self, bench: &mut Bench, random: &mut Gen) {
+    fn end_call(&mut self, fixture: &mut Fixture, random: &mut Gen) {
         let count = u64::try_from(self.running.len()).unwrap();
         if count == 0 {
             return;
@@ -81,54 +81,55 @@
             2 => BatchEnd::ConnectionLost,
             _ => {
                 let ends = batch.items.iter();
-                let ends = ends.map(|_| self.piece_end(bench, random, &batch.server));
+                let ends = ends.map(|_| self.piece_end(fixture, random, &batch.server));
                 BatchEnd::Pieces(ends.collect())
             }
         };
-        bench.end(&batch, end);
+        fixture.end(&batch, end);
     }
 
-    /// The owner ends, in order or at once, and the gateways hand what it had made to the next one.
-    fn change_owner(&mut self, bench: &mut Bench, random: &mut Gen) {
+    /// The owner ends, gracefully or at once, and the gateways pass the stored results to the next
+    /// one.
+    fn change_owner(&mut self, fixture: &mut Fixture, random: &mut Gen) {
         if pick(random, 2) == 0 {
-            bench.batcher.stop();
+            fixture.batcher.stop();
             while !self.running.is_empty() {
-                self.end_call(bench, random);
-                self.take(bench);
-                assert!(bench.next_batches().is_empty());
+                self.end_call(fixture, random);
+                self.process_events(fixture);
+                assert!(fixture.next_batches().is_empty());
             }
-            let handed: BTreeSet<_> = bench.batcher.hand_over().into_iter().collect();
+            let handed: BTreeSet<_> = fixture.batcher.hand_over().into_iter().collect();
             let open = self.open.iter().filter(|job| !self.reported.contains(job));
             assert_eq!(handed, open.copied().collect());
         }
-        bench.change_owner();
+        fixture.change_owner();
         self.running.clear();
-        let orders = std::mem::take(&mut self.orders);
-        let mut told_before = std::mem::take(&mut self.told);
+        let specs = std::mem::take(&mut self.specs);
+        let mut previous_reported = std::mem::take(&mut self.reported_results);
         let reported = std::mem::take(&mut self.reported);
         for job in std::mem::take(&mut self.open) {
             if reported.contains(&job) {
                 continue;
             }
-            let told = told_before.remove(&job).unwrap_or_default();
-            let mut order = orders[&job].clone();
-            order.retained = told.into_values().collect();
-            self.resubmit(bench, order);
+            let reported_results = previous_reported.remove(&job).unwrap_or_default();
+            let mut spec = specs[&job].clone();
+            spec.retained = reported_results.into_values().collect();
+            self.submit_spec(fixture, spec);
         }
-        // What no order names lapses by itself.
-        let named = self.told.values().flat_map(BTreeMap::values);
+        // Results that no spec names expire by themselves.
+        let named = self.reported_results.values().flat_map(BTreeMap::values);
         let named: BTreeSet<_> = named.map(|piece| piece.handle.clone()).collect();
-        self.kept.retain(|handle, _| named.contains(handle));
+        self.stored.retain(|handle, _| named.contains(handle));
     }
 
-    /// A server starts again: what it kept is gone, and a call there may still seem to end well.
-    fn restart(&mut self, bench: &mut Bench, random: &mut Gen) {
+    /// A server restarts: its results are gone, and a call to it may still seem to succeed.
+    fn restart(&mut self, fixture: &mut Fixture, random: &mut Gen) {
         let services = [ENCODE, RETRIEVE, RERANK];
         let service = services[usize::try_from(pick(random, 3)).unwrap()];
         let id = format!("{service}-{}", pick(random, 2));
-        let ended = bench.life(&id);
-        bench.restart(&id);
-        self.kept.retain(|_, life| *life != ended);
+        let ended = fixture.incarnation(&id);
+        fixture.restart(&id);
+        self.stored.retain(|_, incarnation| *incarnation != ended);
         if pick(random, 2) == 0 {
             self.running.retain(|batch| batch.server != ended);
         }
@@ -136,7 +137,7 @@
 
     fn piece_end(
         &mut self,
-        bench: &mut Bench,
+        fixture: &mut Fixture,
         random: &mut Gen,
         server: &ServerIncarnation,
     ) -> PieceEnd {
@@ -145,23 +146,23 @@
             1 => PieceEnd::StorageFull,
             2 => PieceEnd::InputMissing,
             _ => {
-                let handle = bench.handle();
-                if bench.life(server.id().as_str()) == *server {
-                    self.kept.insert(handle.clone(), server.clone());
+                let handle = fixture.handle();
+                if fixture.incarnation(server.id().as_str()) == *server {
+                    self.stored.insert(handle.clone(), server.clone());
                 }
                 PieceEnd::Completed(handle)
             }
         }
     }
 
-    fn send(&mut self, bench: &mut Bench) {
-        let batches = bench.next_batches();
+    fn send(&mut self, fixture: &mut Fixture) {
+        let batches = fixture.next_batches();
         for batch in &batches {
             assert!(batch.items.len() <= 10);
             for item in &batch.items {
                 if let PieceInput::Results(inputs) = &item.input {
                     assert!(!inputs.is_empty());
-                    assert!(inputs.iter().all(|input| self.kept.contains_key(input)));
+                    assert!(inputs.iter().all(|input| self.stored.contains_key(input)));
                 }
             }
         }
@@ -173,13 +174,13 @@
         assert!(calls.values().all(|count| *count == 1), "{calls:?}");
     }
 
-    fn take(&mut self, bench: &mut Bench) {
-        for event in bench.batcher.take_events() {
+    fn process_events(&mut self, fixture: &mut Fixture) {
+        for event in fixture.batcher.take_events() {
             let job = match event {
                 JobEvent::Done(job, _, _) | JobEvent::Failed(job, _) => job,
                 JobEvent::ResultsStored(job, pieces) => {
-                    let told = self.told.entry(job).or_default();
-                    told.extend(
+                    let reported_results = self.reported_results.entry(job).or_default();
+                    reported_results.extend(
                         pieces
                             .into_iter()
                             .map(|piece| ((piece.stage, piece.piece), piece)),
@@ -188,67 +189,68 @@
                 }
                 JobEvent::ConnectionLost(..) => continue,
                 JobEvent::ResultsDropped(job, stage) => {
-                    let told = self.told.entry(job).or_default();
-                    told.retain(|(of, _), _| *of != stage);
+                    let reported_results = self.reported_results.entry(job).or_default();
+                    reported_results.retain(|(of, _), _| *of != stage);
                     continue;
                 }
             };
             assert!(self.reported.insert(job), "{job:?} is reported twice");
         }
-        for handle in bench.freed() {
+        for handle in fixture.freed() {
             assert!(
-                self.kept.remove(&handle).is_some(),
-                "{handle} was never kept"
+                self.stored.remove(&handle).is_some(),
+                "{handle} was never stored"
             );
             assert!(self.freed.insert(handle), "freed twice");
         }
     }
 }
 
-fn told(order: &JobSpec) -> BTreeMap<(usize, usize), RetainedResult> {
-    let kept = order.retained.iter();
-    kept.map(|piece| ((piece.stage, piece.piece), piece.clone()))
+fn reported_results(spec: &JobSpec) -> BTreeMap<(usize, usize), RetainedResult> {
+    let stored = spec.retained.iter();
+    stored
+        .map(|piece| ((piece.stage, piece.piece), piece.clone()))
         .collect()
 }
 
 fn run(random: &mut Gen) {
-    let mut bench = Bench::new(&["north", "south"]);
+    let mut fixture = Fixture::new(&["north", "south"]);
     let mut world = World::default();
     for _ in 0..STEPS {
         match pick(random, 32) {
-            0..8 => world.submit(&mut bench, random),
-            8..12 => world.release(&mut bench, random),
-            12 => world.restart(&mut bench, random),
-            13 if pick(random, 4) == 0 => world.change_owner(&mut bench, random),
-            _ => world.end_call(&mut bench, random),
+            0..8 => world.submit(&mut fixture, random),
+            8..12 => world.release(&mut fixture, random),
+            12 => world.restart(&mut fixture, random),
+            13 if pick(random, 4) == 0 => world.change_owner(&mut fixture, random),
+            _ => world.end_call(&mut fixture, random),
         }
-        bench.advance(pick(random, 60));
-        world.send(&mut bench);
-        world.take(&mut bench);
+        fixture.advance(pick(random, 60));
+        world.send(&mut fixture);
+        world.process_events(&mut fixture);
     }
     for job in std::mem::take(&mut world.open) {
-        bench.batcher.release(job);
+        fixture.batcher.release(job);
     }
-    world.take(&mut bench);
+    world.process_events(&mut fixture);
     while !world.running.is_empty() {
-        world.end_call(&mut bench, random);
-        world.take(&mut bench);
+        world.end_call(&mut fixture, random);
+        world.process_events(&mut fixture);
     }
     assert!(
-        world.kept.is_empty(),
+        world.stored.is_empty(),
         "{} results are never freed",
-        world.kept.len()
+        world.stored.len()
     );
-    assert_eq!(bench.batcher.job_count(), 0);
-    assert_eq!(bench.batcher.queued_stages(), 0);
+    assert_eq!(fixture.batcher.job_count(), 0);
+    assert_eq!(fixture.batcher.queued_stages(), 0);
 }
 
 #[test]
-fn random_runs_keep_the_account() {
+fn random_runs_keep_the_invariants() {
     let asked = std::env::var("AMARANTH_RANDOM_SCHEDULES").ok();
     let runs = asked
         .and_then(|runs| runs.parse().ok())
-        .unwrap_or(USUAL_RUNS);
+        .unwrap_or(DEFAULT_RUNS);
     for seed in 0..runs {
         run(&mut Gen::from_size_and_seed(64, seed));
     }
