--- a/crates/core/src/id/server_incarnation.rs
+++ b/crates/core/src/id/server_incarnation.rs
@@ -18,10 +18,10 @@
 /// A backend server from one start to its end.
 ///
 /// ```
-/// use amaranthscale_core::id::ServerLife;
+/// use amaranthscale_core::id::ServerIncarnation;
 ///
-/// let before: ServerLife = "i-7@1733184000000".parse()?;
-/// let after: ServerLife = "i-7@1733184009000".parse()?;
+/// let before: ServerIncarnation = "i-7@1733184000000".parse()?;
+/// let after: ServerIncarnation = "i-7@1733184009000".parse()?;
 /// assert!(after.replaces(&before));
 /// # Ok::<(), amaranthscale_core::id::InvalidName>(())
 /// ```
--- a/crates/core/src/request/claim/row.rs
+++ b/crates/core/src/request/claim/row.rs
@@ -13,11 +13,11 @@
 ///
 /// ```
 /// use amaranthscale_core::id::{HostId, RowVersion, WriteId};
-/// use amaranthscale_core::request::{ClaimReading, ClaimRow, ClaimState, read_claim};
+/// use amaranthscale_core::request::{ClaimRow, ClaimState, ClaimStatus, read_claim};
 /// use amaranthscale_core::version::Envelope;
-/// use amaranthscale_core::wire::{Fingerprint, Row};
+/// use amaranthscale_core::wire::{CallFingerprint, Row};
 ///
-/// let fingerprint = Fingerprint::of("/settle", "grower 17");
+/// let fingerprint = CallFingerprint::of("/settle", "grower 17");
 /// let by = HostId::new("entry-1")?;
 /// let claim = ClaimRow { fingerprint, state: ClaimState::Cancelled { by } };
 /// let row = Row {
@@ -27,7 +27,7 @@
 /// };
 ///
 /// let reading = read_claim(&row, &fingerprint);
-/// assert_eq!(reading, ClaimReading::Free { version: RowVersion::new(1) });
+/// assert_eq!(reading, ClaimStatus::Free { version: RowVersion::new(1) });
 /// # Ok::<(), amaranthscale_core::id::InvalidName>(())
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/core/src/version/table_copy.rs
+++ b/crates/core/src/version/table_copy.rs
@@ -29,15 +29,15 @@
 /// ```
 /// use std::time::Duration;
 /// use amaranthscale_core::id::RowVersion;
-/// use amaranthscale_core::version::{TableCopy, TableNews};
+/// use amaranthscale_core::version::{TableChanges, TableCopy};
 ///
 /// let mut copy = TableCopy::default();
 /// let row = ("a".to_owned(), "first", RowVersion::new(3));
 /// copy.replace([row], RowVersion::new(7), Duration::from_secs(1));
 /// let gone = ("a".to_owned(), None, RowVersion::new(8));
 /// copy.change([gone.clone()], RowVersion::new(8), Duration::from_secs(2));
-/// assert_eq!(copy.changes_since(RowVersion::new(7)), TableNews::Changed(vec![gone]));
-/// assert_eq!(copy.changes_since(RowVersion::new(2)), TableNews::All(Vec::new()));
+/// assert_eq!(copy.changes_since(RowVersion::new(7)), TableChanges::Incremental(vec![gone]));
+/// assert_eq!(copy.changes_since(RowVersion::new(2)), TableChanges::Full(Vec::new()));
 /// ```
 #[derive(Debug, Clone)]
 pub struct TableCopy<V> {
--- a/crates/core/src/version/tree_log.rs
+++ b/crates/core/src/version/tree_log.rs
@@ -29,12 +29,12 @@
 /// # Examples
 ///
 /// ```
-/// use amaranthscale_core::version::{SettingsTree, Taken, TreeLog};
+/// use amaranthscale_core::version::{SettingsTree, TreeLog, TreeUpdate};
 ///
 /// let ahead = TreeLog::new(SettingsTree::empty())?;
 /// let mut behind = TreeLog::new(SettingsTree::empty())?;
 /// let reply = ahead.changes_since(behind.version());
-/// assert_eq!(behind.apply_reply(reply)?, Taken::Nothing);
+/// assert_eq!(behind.apply_reply(reply)?, TreeUpdate::Unchanged);
 /// # Ok::<(), Box<dyn std::error::Error>>(())
 /// ```
 #[derive(Debug, Clone)]
