--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,14 +1,14 @@
-//! The decisions of amaranthscale, free of input and output.
+//! The decision logic of amaranthscale, without input or output.
 //!
-//! Each part is a plain struct: an event and the present time go in, typed answers come out.
-//! Nothing here opens a socket, starts a task, reads a clock or draws from a global random
-//! source, so that daemons, model checks and random runs all drive the very same code.
+//! Each component is a plain struct that takes an event and the current time and returns typed
+//! results. Nothing here opens a socket, starts a task, reads a clock or uses a global random
+//! source, so daemons, model checks and randomised tests all run the same code.
 //!
-//! The modules are laid out by life span: [`request`] holds what lives for one request,
-//! [`version`] what lives for a version of shared configuration, and [`process`] what lives as
-//! long as its process. [`id`] and [`mod@unit`] hold the newtypes, [`wire`] the messages.
+//! The modules are grouped by lifetime: [`request`] holds the state of one request, [`version`]
+//! the state of one version of shared configuration, and [`process`] the state of a process.
+//! [`id`] and [`mod@unit`] hold the newtypes, [`wire`] the messages.
 
-// The macro of the error types goes one level deeper for each variant of the largest one.
+// quick_error! recurses once per variant, and the largest error exceeds the default limit.
 #![recursion_limit = "256"]
 
 pub mod id;
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -1,8 +1,8 @@
-//! What lives for one request.
+//! State of one request.
 //!
-//! [`Ledger`] remembers which attempts a sidecar has seen, so that an attempt starts at most once
-//! within one life of the sidecar. [`ClaimRow`] is the row of the platform's table that does the
-//! same across sidecars and their lives, for calls that may not be repeated.
+//! [`Ledger`] records the attempts that a sidecar has received, so that an attempt starts at most
+//! once per incarnation of the sidecar. [`ClaimRow`] is the row of the platform's table that does
+//! the same across sidecars and incarnations, for non-repeatable calls.
 
 mod claim;
 mod ledger;
--- a/crates/core/src/request/claim.rs
+++ b/crates/core/src/request/claim.rs
@@ -1,20 +1,20 @@
-//! The row that lets a call that may not be repeated run at most once.
+//! The table row that makes a non-repeatable call run at most once.
 //!
-//! A claim row is free while it is absent or cancelled. The sidecar moves it from the version that
-//! the entry read to started, just before the call, and to finished after it. A started row is
-//! never made free again, except by the sidecar that holds it and has not made the call. So one
-//! version is claimed by at most one attempt, and a row that shows another attempt's claim proves
-//! that ours never ran; [`attempt_status`] reads that off.
+//! A claim row is free while it is absent or cancelled. Just before the call, the sidecar writes
+//! "started" over the version that the entry read; after the call it writes "finished". A started
+//! row becomes free again only if its own sidecar cancels it without having made the call. So each
+//! version is claimed by at most one attempt, and a row claimed by another attempt proves that
+//! ours never ran, which [`attempt_status()`] relies on.
 
-mod fate;
-mod reading;
+mod attempt_status;
+mod claim_status;
 mod row;
 mod writes;
 
 #[doc(inline)]
-pub use fate::{AttemptStatus, attempt_status};
+pub use attempt_status::{AttemptStatus, attempt_status};
 #[doc(inline)]
-pub use reading::{ClaimStatus, read_claim};
+pub use claim_status::{ClaimStatus, read_claim};
 #[doc(inline)]
 pub use row::{ClaimRow, ClaimState, StoredResult};
 #[doc(inline)]
--- a/crates/core/src/request/claim/fate.rs
+++ b/crates/core/src/request/claim/attempt_status.rs
@@ -4,26 +4,26 @@
 use crate::id::{AttemptId, RowVersion};
 use crate::wire::Row;
 
-/// What a claim row proves about one attempt.
+/// Status of one attempt, as far as its claim row proves it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptStatus {
-    /// It has not claimed, and may yet.
+    /// It has not claimed the call and still may.
     MayStart,
     /// It holds the claim and may make the call.
     Claimed,
     /// It did not make the call and never will.
     NeverRan,
-    /// The call has ended or is given up; the row does not tell which attempt made it.
+    /// The call has ended or was abandoned; the row does not show which attempt made it.
     Closed,
 }
 
-/// Reads what a row proves about an attempt that carries a version.
+/// Returns what a row proves about an attempt that was dispatched with version `ticket_version`.
 ///
-/// The row may be newer than any write of ours whose answer was lost, so this needs no history:
-/// a started row is never made free once its call is made.
+/// No history is needed, even if the row is newer than a write of ours whose reply was lost: a
+/// started row never becomes free once its call was made.
 #[must_use]
-pub fn attempt_status(row: &Row, attempt: AttemptId, carried: RowVersion) -> AttemptStatus {
-    if row.version <= carried {
+pub fn attempt_status(row: &Row, attempt: AttemptId, ticket_version: RowVersion) -> AttemptStatus {
+    if row.version <= ticket_version {
         return AttemptStatus::MayStart;
     }
     match ClaimRow::parse(row).map(|claim| claim.state) {
--- a/crates/core/src/request/claim/reading.rs
+++ b/crates/core/src/request/claim/claim_status.rs
@@ -1,54 +1,54 @@
-//! What a claim row tells an entry.
+//! Status of a call, as an entry reads it from a claim row.
 
 use super::{ClaimRow, ClaimState, StoredResult};
 use crate::id::{AttemptId, HostId, Incarnation, RowVersion};
 use crate::wire::{CallFingerprint, Outcome, Row};
 
-/// What a claim row tells about a call.
+/// Status of a call, as its claim row shows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimStatus {
-    /// Nobody has made the call; an attempt may claim this version.
+    /// The call was not made; an attempt may claim this version.
     Free {
         /// Version to claim.
         version: RowVersion,
     },
-    /// An attempt holds the claim; its sidecar has the answer.
+    /// An attempt holds the claim; its sidecar returns the answer.
     Started {
         /// Host of the sidecar.
         host: HostId,
-        /// Life of the sidecar.
+        /// Incarnation of the sidecar.
         incarnation: Incarnation,
         /// Attempt that holds the claim.
         attempt: AttemptId,
         /// Version of the row.
         version: RowVersion,
     },
-    /// The call was made; this is its answer.
+    /// The call was made and has ended.
     Finished {
         /// How it ended.
         outcome: Outcome,
-        /// Where its result lies.
+        /// Where its result is stored.
         result: StoredResult,
     },
     /// The call may have been made and must not be made again.
     Unknown,
-    /// The key stands for another call.
+    /// The key was used for another call.
     KeyReused,
     /// The row cannot be read, so the call must not be made.
     Corrupt,
 }
 
-/// Reads a claim row on behalf of a call.
+/// Reads the status of a call from its claim row.
 ///
-/// A cancelled row is free for any call, since nothing was done under its key.
+/// A cancelled row is free for any call, since no call was made under its key.
 #[must_use]
 pub fn read_claim(row: &Row, fingerprint: &CallFingerprint) -> ClaimStatus {
     let version = row.version;
     if version == RowVersion::default() {
         return ClaimStatus::Free { version };
     }
-    // A row that cannot be read may stand for a call that was made. Taking it for free would show
-    // as a second settlement, so it is refused until an operator has looked at it.
+    // An unreadable row may belong to a call that was made. Treating it as free could pay a
+    // settlement twice, so calls are refused until an operator has checked the row.
     let Some(claim) = ClaimRow::parse(row) else {
         return ClaimStatus::Corrupt;
     };
--- a/crates/core/src/request/claim/row.rs
+++ b/crates/core/src/request/claim/row.rs
@@ -1,4 +1,4 @@
-//! What a claim row holds.
+//! Contents of a claim row.
 
 use serde::{Deserialize, Serialize};
 use serde_with::{hex::Hex, serde_as};
@@ -32,13 +32,13 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRow {
-    /// Digest of the call that the key stands for.
+    /// Digest of the call made under the key.
     pub fingerprint: CallFingerprint,
-    /// How far the call has come.
+    /// State of the call.
     pub state: ClaimState,
 }
 
-/// How far a call that may not be repeated has come.
+/// State of a non-repeatable call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
@@ -46,7 +46,7 @@
     Started {
         /// Host of the sidecar that holds the claim.
         host: HostId,
-        /// Life of that sidecar.
+        /// Incarnation of that sidecar.
         incarnation: Incarnation,
         /// Attempt that holds the claim.
         attempt: AttemptId,
@@ -55,10 +55,10 @@
     Finished {
         /// How it ended.
         outcome: Outcome,
-        /// What it answered.
+        /// Its result.
         result: StoredResult,
     },
-    /// Nobody made the call; the next version is free.
+    /// The call was not made; it may be claimed over this row's version.
     Cancelled {
         /// Host that cancelled.
         by: HostId,
@@ -67,7 +67,7 @@
     Unknown,
 }
 
-/// Where the result of a finished call lies.
+/// Where the result of a finished call is stored.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -79,21 +79,20 @@
 }
 
 impl ClaimRow {
-    /// Reads a row of the table; none if no writer of ours wrote it.
+    /// Parses a row of the table; `None` if it is not a claim row.
     #[must_use]
     pub fn parse(row: &Row) -> Option<Self> {
         let envelope = Envelope::parse(&row.value).ok()?;
         serde_json::from_str(&envelope.body).ok()
     }
 
-    /// The text that goes into the row's envelope.
+    /// Serialises the claim as the body of the row's envelope.
     ///
     /// # Panics
     ///
-    /// Never for a claim, whose types all have a form in JSON.
+    /// Never: all types of a claim can be written as JSON.
     #[must_use]
     pub fn to_body(&self) -> String {
-        // Reached only if a claim came to hold something that JSON cannot carry: a bug.
-        serde_json::to_string(self).expect("a claim has a form in JSON")
+        serde_json::to_string(self).expect("a claim can be written as JSON")
     }
 }
--- a/crates/core/src/request/claim/writes.rs
+++ b/crates/core/src/request/claim/writes.rs
@@ -1,4 +1,4 @@
-//! The writes that move a claim row.
+//! The conditional writes that change the state of a claim row.
 
 use super::{ClaimRow, ClaimState, StoredResult};
 use crate::id::{AttemptId, HostId, Incarnation, RowVersion, WriteId};
@@ -7,8 +7,8 @@
 
 /// Claims a call for an attempt, just before the call.
 ///
-/// Only [`WriteStep::Won`](crate::version::WriteStep::Won) allows the call; every other end means
-/// that this attempt must not make it.
+/// Only [`WriteStep::Won`](crate::version::WriteStep::Won) allows the call; after any other final
+/// step this attempt must not make it.
 #[must_use]
 pub fn claim_write(
     ticket: &ClaimTicket,
@@ -29,7 +29,7 @@
     write_at(&ticket.key, ticket.version, &claim, write_id)
 }
 
-/// Keeps the outcome of a call in the row that claimed it.
+/// Stores the outcome of a call in its claim row.
 #[must_use]
 pub fn finish_write(
     started: &Row,
@@ -43,9 +43,9 @@
     write_over(started, &claim, write_id)
 }
 
-/// Takes a version away, so that no attempt that carries it can start.
+/// Writes over a version, so that no attempt dispatched with it can start.
 ///
-/// The sidecar that holds a claim may name its own row's version, if it has not made the call.
+/// A sidecar that holds the claim and has not made the call may pass the version of its own row.
 #[must_use]
 pub fn cancel_write(
     key: &ClaimKey,
@@ -59,7 +59,7 @@
     write_at(key, version, &claim, write_id)
 }
 
-/// Gives up a started call whose sidecar is gone.
+/// Marks a started call as unknown after its sidecar was lost.
 #[must_use]
 pub fn mark_unknown_write(
     started: &Row,
--- a/crates/core/src/request/ledger.rs
+++ b/crates/core/src/request/ledger.rs
@@ -1,8 +1,8 @@
-//! Which attempts a sidecar has seen.
+//! Record of the attempts that a sidecar has received.
 //!
-//! An attempt goes from absent to queued to running to finished and never back. What the ledger
-//! has dropped from memory it never calls "not run": past its expiry an attempt cannot start, but
-//! it may have run before, so the answer is then [`RevokeAnswer::Forgotten`].
+//! An attempt goes from absent to queued to running to finished and never back. An attempt that was
+//! dropped from memory is never reported as "not run": past its expiry it cannot start, but it may
+//! have run before, so the answer is [`RevokeAnswer::Forgotten`].
 
 mod limits;
 mod record;
@@ -21,10 +21,10 @@
 use crate::wire::{Outcome, RevokeAnswer};
 use crate::{Ran, ResultCode};
 
-/// Attempts of one life of a sidecar.
+/// Attempts received by one incarnation of a sidecar.
 ///
 /// Call [`Ledger::start`] before the claim and before the call: from then on a revocation is
-/// answered "running", and the attempt may no longer be dropped silently.
+/// answered with "running", and the attempt must end with an outcome.
 ///
 /// # Examples
 ///
@@ -35,8 +35,8 @@
 /// use amaranthscale_core::unit::SidecarClock;
 /// use amaranthscale_core::wire::RevokeAnswer;
 ///
-/// let life = Incarnation::new(7);
-/// let mut ledger = Ledger::new(life, LedgerLimits::default());
+/// let incarnation = Incarnation::new(7);
+/// let mut ledger = Ledger::new(incarnation, LedgerLimits::default());
 /// let attempt = AttemptId {
 ///     request: RequestId::from_random_bits(1),
 ///     stage: StageIndex::new(0),
@@ -45,23 +45,24 @@
 /// let now = SidecarClock::from_millis(1_000);
 /// let expiry = SidecarClock::from_millis(5_000);
 ///
-/// assert_eq!(ledger.revoke(attempt, life, expiry, now), RevokeAnswer::Revoked);
-/// assert_eq!(ledger.admit(attempt, life, expiry, now), Err(ResultCode::AttemptRevoked));
+/// assert_eq!(ledger.revoke(attempt, incarnation, expiry, now), RevokeAnswer::Revoked);
+/// assert_eq!(ledger.admit(attempt, incarnation, expiry, now), Err(ResultCode::AttemptRevoked));
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ledger {
     incarnation: Incarnation,
     limits: LedgerLimits,
     records: BTreeMap<AttemptId, Record>,
-    /// Ended records by the time until which they are kept.
+    /// Ended records by the end of their retention.
     ended: BTreeSet<(SidecarClock, AttemptId)>,
     queued: usize,
     running: usize,
+    /// Latest clock reading seen.
     latest: SidecarClock,
 }
 
 impl Ledger {
-    /// Opens an empty ledger for a new life.
+    /// Creates an empty ledger for a new incarnation.
     #[must_use]
     pub fn new(incarnation: Incarnation, limits: LedgerLimits) -> Self {
         Self {
@@ -75,16 +76,16 @@
         }
     }
 
-    /// The life that this ledger speaks for.
+    /// The incarnation of the sidecar that this ledger belongs to.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Takes an attempt into the queue, or says why it will not run.
+    /// Admits an attempt as queued, or returns why this delivery will not run.
     ///
-    /// Refusals hold for the delivery at hand. [`ResultCode::DuplicateAttempt`] tells nothing about
-    /// the first delivery: the entry must ask, not report "not run".
+    /// [`ResultCode::DuplicateAttempt`] says nothing about the first delivery of the attempt: the
+    /// entry must query its state and not report "not run".
     pub fn admit(
         &mut self,
         attempt: AttemptId,
@@ -96,13 +97,13 @@
         self.check_incarnation(incarnation)?;
         self.check_absent(&attempt)?;
         self.check_expiry(expiry, now)?;
-        self.check_room(now)?;
+        self.check_capacity(now)?;
         self.records.insert(attempt, Record::queued(expiry));
         self.queued += 1;
         Ok(())
     }
 
-    /// Moves a queued attempt to running; only after `Ok` may the call be made.
+    /// Marks a queued attempt as running; the call may be made only after `Ok`.
     pub fn start(&mut self, attempt: AttemptId, now: SidecarClock) -> Result<(), ResultCode> {
         let now = self.advance(now);
         let record = self
@@ -117,8 +118,8 @@
                 return Err(ResultCode::DuplicateAttempt);
             }
         }
-        // An attempt that waited past its expiry may already be answered for as lost. Without this
-        // check a sidecar that was paused would wake and make a call that nobody waits for.
+        // Past its expiry an attempt may already have been answered as lost. Without this check, a
+        // sidecar that was paused would resume and make a call that nobody waits for.
         if now > record.expiry {
             self.refuse(attempt, ResultCode::AttemptExpired, now);
             return Err(ResultCode::AttemptExpired);
@@ -129,9 +130,9 @@
         Ok(())
     }
 
-    /// Ends an attempt whose call was not made.
+    /// Ends an attempt without a call.
     ///
-    /// Also for an attempt that was started and then lost its claim before the call.
+    /// Also used for an attempt that was started and then failed to claim the call.
     pub fn refuse(&mut self, attempt: AttemptId, code: ResultCode, now: SidecarClock) {
         debug_assert_eq!(code.ran(), Ran::No, "{attempt} is refused as {code}");
         let now = self.advance(now);
@@ -144,7 +145,7 @@
 
     /// Ends a running attempt with its outcome.
     pub fn finish(&mut self, attempt: AttemptId, outcome: Outcome, now: SidecarClock) {
-        // A call that was made without a start would have been answered "revoked".
+        // A call made without a start could have been reported as revoked.
         let is_started = self.state(&attempt) != Some(&LedgerState::Queued);
         debug_assert!(
             is_started || outcome.ran() == Ran::No,
@@ -154,7 +155,7 @@
         self.end(attempt, LedgerState::Finished(outcome), now);
     }
 
-    /// Keeps an attempt from starting, or says how far it has come.
+    /// Prevents an attempt from starting, or returns its state if it has started.
     pub fn revoke(
         &mut self,
         attempt: AttemptId,
@@ -163,8 +164,8 @@
         now: SidecarClock,
     ) -> RevokeAnswer {
         let now = self.advance(now);
-        // Another life's ledger is gone with it. Calling its attempts "not run" would let the
-        // entry run the same call twice.
+        // The ledger of another incarnation is lost. Reporting its attempts as "not run" would let
+        // the entry run the same call twice.
         if incarnation != self.incarnation {
             return RevokeAnswer::OtherIncarnation;
         }
@@ -180,17 +181,17 @@
         }
     }
 
-    /// How far an attempt has come, if the ledger still knows it.
+    /// State of an attempt, if its record is still in memory.
     #[must_use]
     pub fn state(&self, attempt: &AttemptId) -> Option<&LedgerState> {
         self.records.get(attempt).map(|record| &record.state)
     }
 
-    /// Drops ended attempts that need no longer be kept.
+    /// Drops ended attempts whose retention is over.
     pub fn sweep(&mut self, now: SidecarClock) {
         let now = self.advance(now);
-        while let Some((keep_until, attempt)) = self.ended.first().copied() {
-            if keep_until >= now {
+        while let Some((retain_until, attempt)) = self.ended.first().copied() {
+            if retain_until >= now {
                 break;
             }
             self.ended.pop_first();
@@ -198,40 +199,41 @@
         }
     }
 
-    /// Attempts in memory.
+    /// Number of attempts in memory.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether nothing is in memory.
+    /// Whether no attempt is in memory.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Attempts that are running.
+    /// Number of running attempts.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// Attempts that are queued.
+    /// Number of queued attempts.
     #[must_use]
     pub fn queued(&self) -> usize {
         self.queued
     }
 
-    /// Never lets the clock step back: a record dropped at a later reading must stay expired.
+    /// Returns the latest clock reading so far: an attempt whose record was dropped at a later
+    /// reading must stay expired.
     fn advance(&mut self, now: SidecarClock) -> SidecarClock {
         self.latest = self.latest.max(now);
         self.latest
     }
 
-    /// Refuses an attempt meant for an earlier life.
+    /// Refuses an attempt addressed to another incarnation.
     ///
-    /// The earlier life may have run it; its memory is gone, so that the same message, delayed
-    /// across the restart, would run a second time.
+    /// An earlier incarnation may have run it, and its ledger is lost: without this check, a
+    /// message delayed across the restart would run a second time.
     fn check_incarnation(&self, incarnation: Incarnation) -> Result<(), ResultCode> {
         if incarnation == self.incarnation {
             Ok(())
@@ -248,10 +250,10 @@
         }
     }
 
-    /// Refuses an attempt whose record may be gone already, or would be kept too long.
+    /// Refuses an attempt whose record may have been dropped, or would be retained too long.
     ///
-    /// A record is kept at least until its expiry, so an attempt before its expiry that is absent
-    /// was never here. Past its expiry it may have been here, run, and been dropped.
+    /// A record is retained at least until its expiry, so an absent attempt that has not expired
+    /// was never received. An expired one may have been received, run and dropped.
     fn check_expiry(&self, expiry: SidecarClock, now: SidecarClock) -> Result<(), ResultCode> {
         if now > expiry || self.is_too_far(expiry, now) {
             return Err(ResultCode::AttemptExpired);
@@ -259,7 +261,7 @@
         Ok(())
     }
 
-    fn check_room(&mut self, now: SidecarClock) -> Result<(), ResultCode> {
+    fn check_capacity(&mut self, now: SidecarClock) -> Result<(), ResultCode> {
         if self.len() >= self.limits.max_entries {
             self.sweep(now);
         }
@@ -274,17 +276,18 @@
         now.until(expiry) > self.limits.max_expiry_ahead
     }
 
-    /// Leaves a tombstone, so that the attempt is refused if it arrives after its revocation.
+    /// Records a tombstone, so that the attempt is refused if it arrives after its revocation.
     ///
-    /// Where no tombstone can be left, the answer promises nothing.
+    /// Where no tombstone can be recorded, the answer gives no guarantee.
     fn revoke_absent(
         &mut self,
         attempt: AttemptId,
         expiry: SidecarClock,
         now: SidecarClock,
     ) -> RevokeAnswer {
-        let is_promised = self.check_expiry(expiry, now).is_ok() && self.check_room(now).is_ok();
-        if !is_promised {
+        let has_tombstone =
+            self.check_expiry(expiry, now).is_ok() && self.check_capacity(now).is_ok();
+        if !has_tombstone {
             return RevokeAnswer::Forgotten;
         }
         self.records.insert(attempt, Record::revoked(expiry));
@@ -294,7 +297,7 @@
 
     fn end(&mut self, attempt: AttemptId, state: LedgerState, now: SidecarClock) {
         let Some(record) = self.records.get_mut(&attempt) else {
-            log::debug!("ledger: {attempt} ended but is not known");
+            log::debug!("ledger: {attempt} ended but is not in the ledger");
             return;
         };
         match record.state {
@@ -302,11 +305,11 @@
             LedgerState::Running => self.running -= 1,
             LedgerState::Revoked | LedgerState::Finished(_) => return,
         }
-        let keep_until = match state {
+        let retain_until = match state {
             LedgerState::Finished(_) => record.expiry.max(now.plus(self.limits.keep_finished)),
             _ => record.expiry,
         };
         record.state = state;
-        self.ended.insert((keep_until, attempt));
+        self.ended.insert((retain_until, attempt));
     }
 }
--- a/crates/core/src/request/ledger/limits.rs
+++ b/crates/core/src/request/ledger/limits.rs
@@ -1,23 +1,23 @@
-//! Bounds on a ledger's memory.
+//! Limits on a ledger's memory.
 
 use std::time::Duration;
 
-/// Attempts that a ledger holds. At a few hundred bytes each this is some tens of megabytes; a
-/// lower number refuses work of a busy sidecar as [`crate::ResultCode::LedgerFull`].
+/// Maximum attempts in a ledger. At a few hundred bytes each this is some tens of megabytes; a
+/// lower limit makes a busy sidecar refuse work with [`crate::ResultCode::LedgerFull`].
 const MAX_ENTRIES: usize = 100_000;
-/// Longest way ahead that an expiry may lie; a longer one pins memory for that long.
+/// Longest accepted time until an expiry; a record occupies memory at least until its expiry.
 const MAX_EXPIRY_AHEAD: Duration = Duration::from_mins(1);
-/// How long a result waits for an entry that asks on a new connection.
+/// How long an entry that lost its connection can fetch the outcome on a new one.
 const KEEP_FINISHED: Duration = Duration::from_secs(30);
 
-/// Bounds on a ledger's memory.
+/// Limits on a ledger's memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LedgerLimits {
-    /// Most attempts in memory.
+    /// Maximum number of attempts in memory.
     pub max_entries: usize,
     /// Longest time from now to an accepted expiry.
     pub max_expiry_ahead: Duration,
-    /// Shortest time that a finished attempt is kept.
+    /// Minimum time for which a finished attempt is retained.
     pub keep_finished: Duration,
 }
 
--- a/crates/core/src/request/ledger/record.rs
+++ b/crates/core/src/request/ledger/record.rs
@@ -1,9 +1,9 @@
-//! One attempt in a ledger.
+//! A ledger's record of one attempt.
 
 use super::LedgerState;
 use crate::unit::SidecarClock;
 
-/// What a ledger keeps of one attempt.
+/// A ledger's record of one attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Record {
     pub(super) state: LedgerState,
--- a/crates/core/src/request/ledger/state.rs
+++ b/crates/core/src/request/ledger/state.rs
@@ -1,15 +1,15 @@
-//! How far an attempt has come.
+//! State of an attempt in a ledger.
 
 use crate::wire::Outcome;
 
-/// How far a known attempt has come.
+/// State of an attempt in a ledger.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LedgerState {
-    /// Waits for a slot.
+    /// Waiting for a slot.
     Queued,
-    /// Handed to the backend server, or about to be.
+    /// Sent to the backend server, or about to be.
     Running,
-    /// Has ended.
+    /// Ended with this outcome.
     Finished(Outcome),
     /// Did not run and never will.
     Revoked,
