--- a/crates/amaranthscale/src/bin/amaranth-entry.rs
+++ b/crates/amaranthscale/src/bin/amaranth-entry.rs
@@ -16,7 +16,7 @@
 #[global_allocator]
 static ALLOCATOR: MiMalloc = MiMalloc;
 
-/// Time beyond the longest deadline that open requests get when the entry stops.
+/// Time added to the longest deadline while open requests end at a stop.
 const DRAIN_MARGIN: Duration = Duration::from_secs(1);
 
 fn main() -> ExitCode {
@@ -44,15 +44,15 @@
 #[tokio::main]
 async fn run(config: EntryConfig) -> Result<ExitCode, Box<dyn Error>> {
     let mut stop = StopSignal::listen()?;
-    let bound = config.max_deadline + DRAIN_MARGIN;
+    let drain_timeout = config.max_deadline + DRAIN_MARGIN;
     let entry = Entry::start(config).await?;
     print_listen_address(entry.address())?;
     print_peer_address(entry.peer_address())?;
     stop.next().await;
     let is_drained = tokio::select! {
-        is_drained = entry.stop(bound) => is_drained,
+        is_drained = entry.stop(drain_timeout) => is_drained,
         () = stop.next() => {
-            warn!("entry: stopped by a second signal");
+            warn!("entry: second signal received, stopping at once");
             false
         }
     };
--- a/crates/amaranthscale/src/bin/amaranth-sidecar.rs
+++ b/crates/amaranthscale/src/bin/amaranth-sidecar.rs
@@ -49,7 +49,7 @@
     let is_drained = tokio::select! {
         is_drained = sidecar.stop() => is_drained,
         () = stop.next() => {
-            warn!("sidecar: stopped by a second signal");
+            warn!("sidecar: second signal received, stopping at once");
             false
         }
     };
--- a/crates/amaranthscale/src/entry.rs
+++ b/crates/amaranthscale/src/entry.rs
@@ -1,6 +1,6 @@
-//! The entry: owns each request from its arrival to its one final answer.
+//! The entry daemon: accepts callers' requests, runs their stages and returns one final answer.
 //!
-//! [`request`] holds what lives for one request, [`process`] what lives as long as the entry.
+//! Types in [`request`] live for one request, those in [`process`] for the whole process.
 
 pub mod process;
 pub mod request;
--- a/crates/amaranthscale/src/entry/connection.rs
+++ b/crates/amaranthscale/src/entry/connection.rs
@@ -1,4 +1,4 @@
-//! What an entry answers over HTTP: callers and operators on one address, peers on another.
+//! HTTP interfaces of an entry: callers and operators on one address, peers on another.
 
 mod caller_http;
 mod operator_http;
--- a/crates/amaranthscale/src/entry/connection/caller_http.rs
+++ b/crates/amaranthscale/src/entry/connection/caller_http.rs
@@ -1,4 +1,4 @@
-//! Callers' requests over HTTP, whole or as server-sent events.
+//! HTTP interface for callers; answers are sent whole or as server-sent events.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -18,36 +18,36 @@
 
 use super::reply::{REQUEST_ID_HEADER, answer_response, to_json, with_retry_after};
 use crate::connection::{ReadBodyError, ResponseBody, read_body};
-use crate::entry::process::EntryParts;
+use crate::entry::process::EntryContext;
 use crate::entry::request::{
-    Answer, AnswerEnvelope, CallerHead, CallerRequest, DeadlineLimits, Run, TokenText,
+    Answer, AnswerEnvelope, CallerHead, CallerRequest, DeadlineLimits, RequestRun, TokenText,
 };
 use crate::version::TreeSyncHandle;
 
-/// Events that may wait for a slow reader before the run waits with them.
+/// Events buffered for a slow reader before writing to it blocks.
 const EVENT_BUFFER: usize = 64;
 
-/// Bounds on callers.
+/// Limits on callers' requests.
 #[derive(Debug, Clone, Copy)]
 pub struct CallerLimits {
-    /// Longest body.
+    /// Maximum size of a body.
     pub max_body_bytes: usize,
-    /// Most requests at once.
+    /// Maximum number of open requests.
     pub max_requests: usize,
-    /// Longest wait for a body.
+    /// Timeout for reading a body.
     pub read_timeout: Duration,
-    /// Bounds on deadlines.
+    /// Limits on deadlines.
     pub deadline: DeadlineLimits,
 }
 
-/// Answers callers.
+/// HTTP handler for callers.
 #[derive(Debug, Clone)]
 pub struct CallerHttp {
-    parts: EntryParts,
+    context: EntryContext,
     tree: TreeSyncHandle,
     host: HostId,
     limits: CallerLimits,
-    open: Arc<AtomicUsize>,
+    open_count: Arc<AtomicUsize>,
 }
 
 /// Counts a request as open until it is dropped.
@@ -61,34 +61,34 @@
 }
 
 impl CallerHttp {
-    /// Answers callers of an entry.
+    /// Creates the handler of an entry.
     #[must_use]
     pub fn new(
-        parts: EntryParts,
+        context: EntryContext,
         tree: TreeSyncHandle,
         host: HostId,
         limits: CallerLimits,
     ) -> Self {
         Self {
-            parts,
+            context,
             tree,
             host,
             limits,
-            open: Arc::default(),
+            open_count: Arc::default(),
         }
     }
 
-    /// Requests that are open now.
+    /// Number of open requests.
     #[must_use]
     pub fn open_requests(&self) -> usize {
-        self.open.load(Ordering::Relaxed)
+        self.open_count.load(Ordering::Relaxed)
     }
 
-    /// Answers one request.
+    /// Handles one request.
     pub async fn handle(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let arrived = Instant::now();
         let id = RequestId::from_random_bits(rand::random());
-        let open = match self.open() {
+        let open = match self.begin() {
             Ok(open) => open,
             Err(code) => return self.refused(id, code),
         };
@@ -99,16 +99,17 @@
         if request.wants_stream {
             return self.stream(id, request, arrived, open);
         }
-        let run = Run::new(&self.parts, &self.host, id, &request, arrived);
+        let run = RequestRun::new(&self.context, &self.host, id, &request, arrived);
         let answer = with_retry_after(run.to_answer().await);
         answer_response(id, Some(&request.target), &answer)
     }
 
-    /// Guards against a flood that would exhaust the entry's memory: what cannot be held is
-    /// refused before its body is read.
-    fn open(&self) -> Result<OpenRequest, ResultCode> {
-        let before = self.open.fetch_add(1, Ordering::Relaxed);
-        let open = OpenRequest(Arc::clone(&self.open));
+    /// Counts a request as open, or refuses it before its body is read.
+    ///
+    /// The limit keeps a flood of requests from exhausting the entry's memory.
+    fn begin(&self) -> Result<OpenRequest, ResultCode> {
+        let before = self.open_count.fetch_add(1, Ordering::Relaxed);
+        let open = OpenRequest(Arc::clone(&self.open_count));
         if before >= self.limits.max_requests {
             return Err(ResultCode::EntryFull);
         }
@@ -121,7 +122,7 @@
     async fn read(&self, request: Request<Incoming>) -> Result<CallerRequest, ResultCode> {
         let (head, body) = request.into_parts();
         let checked = {
-            let tree = self.parts.tree.borrow();
+            let tree = self.context.tree.borrow();
             CallerHead::read(
                 &head.method,
                 &head.uri,
@@ -131,14 +132,14 @@
             )
         }?;
         let body = read_body(body, self.limits.max_body_bytes, self.limits.read_timeout).await;
-        checked.with_body(body.map_err(|error| read_code(&error))?)
+        checked.with_body(body.map_err(|error| body_error_code(&error))?)
     }
 
     fn refused(&self, id: RequestId, code: ResultCode) -> Response<ResponseBody> {
-        self.parts
+        self.context
             .counters
             .count_reason("request.refused", code.name());
-        answer_response(id, None, &with_retry_after(Answer::of_code(code)))
+        answer_response(id, None, &with_retry_after(Answer::from_code(code)))
     }
 
     fn stream(
@@ -163,7 +164,7 @@
         response
     }
 
-    /// Runs a request beside the writing of its events; ends early if the caller goes away.
+    /// Runs a request while writing its events; stops early if the caller disconnects.
     async fn run_streaming(
         &self,
         id: RequestId,
@@ -172,10 +173,11 @@
         mut sender: Sender<Bytes, Infallible>,
     ) {
         let (tokens, received) = unbounded_channel();
-        let run = Run::new(&self.parts, &self.host, id, request, arrived);
+        let run = RequestRun::new(&self.context, &self.host, id, request, arrived);
         let running = async move { run.streaming_to(&tokens).to_answer().await };
-        let Some(answer) = run_beside(running, write_tokens(&mut sender, received)).await else {
-            self.parts.counters.count("stream.caller_gone");
+        let Some(answer) = run_while_writing(running, write_tokens(&mut sender, received)).await
+        else {
+            self.context.counters.count("stream.caller_gone");
             return;
         };
         let envelope = AnswerEnvelope::new(id, &with_retry_after(answer));
@@ -183,10 +185,10 @@
     }
 }
 
-/// Drives a run and the writing of its tokens; none if the caller went away first.
+/// Polls a run and the writing of its tokens; `None` if the caller disconnected first.
 ///
-/// Dropping the run cancels its attempt, so no slot is held for a caller who is gone.
-async fn run_beside(
+/// Dropping the run cancels its attempt, which frees the slot that it used.
+async fn run_while_writing(
     running: impl Future<Output = Answer>,
     writing: impl Future<Output = Result<(), ()>>,
 ) -> Option<Answer> {
@@ -218,7 +220,7 @@
     event.into()
 }
 
-const fn read_code(error: &ReadBodyError) -> ResultCode {
+const fn body_error_code(error: &ReadBodyError) -> ResultCode {
     match error {
         ReadBodyError::TooLarge(_) => ResultCode::BodyTooLarge,
         ReadBodyError::TimedOut(..) => ResultCode::SlowCaller,
--- a/crates/amaranthscale/src/entry/connection/operator_http.rs
+++ b/crates/amaranthscale/src/entry/connection/operator_http.rs
@@ -1,4 +1,4 @@
-//! What operators ask an entry: the tree, its edits, status and cost.
+//! HTTP interface for operators: settings tree, edits, status and cost.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,20 +13,20 @@
 use serde::{Deserialize, Serialize};
 
 use super::CallerHttp;
-use super::reply::{json_response, shown, status};
+use super::reply::{json_response, serialised_response, status};
 use crate::connection::{ResponseBody, read_body};
-use crate::entry::process::{DecisionsStatus, EntryParts};
+use crate::entry::process::{DecisionsStatus, EntryContext};
 use crate::version::{EditProposal, EditResult, PlannerStatus, TreeStatus, TreeSyncHandle};
 
-/// Longest edit: an import of a whole tree.
+/// Maximum size of an edit; the largest is the import of a whole tree.
 const MAX_EDIT_BYTES: usize = 16 * 1024 * 1024;
-/// Longest wait for an operator's body.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout for reading an operator's body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers operators.
+/// HTTP handler for operators.
 #[derive(Debug, Clone)]
 pub struct OperatorHttp {
-    parts: EntryParts,
+    context: EntryContext,
     tree: TreeSyncHandle,
     callers: CallerHttp,
     host: HostId,
@@ -68,17 +68,17 @@
 }
 
 impl OperatorHttp {
-    /// Answers operators who hold a key.
+    /// Creates the handler; calls are authorised by the key with this hash.
     #[must_use]
     pub const fn new(
-        parts: EntryParts,
+        context: EntryContext,
         tree: TreeSyncHandle,
         callers: CallerHttp,
         host: HostId,
         key: Option<KeyHash>,
     ) -> Self {
         Self {
-            parts,
+            context,
             tree,
             callers,
             host,
@@ -86,13 +86,13 @@
         }
     }
 
-    /// Whether a path is an operator's.
+    /// Whether a path belongs to this interface.
     #[must_use]
-    pub fn takes(path: &str) -> bool {
+    pub fn handles(path: &str) -> bool {
         path.starts_with("/v1/operator/") || matches!(path, "/healthz" | "/readyz" | "/status")
     }
 
-    /// Answers one call.
+    /// Handles one call.
     pub async fn handle(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         match request.uri().path() {
             "/healthz" => return json_response(StatusCode::OK, "{}"),
@@ -100,8 +100,8 @@
             "/status" => return self.status().await,
             _ => {}
         }
-        if !self.is_allowed(request.headers()) {
-            return refused(ResultCode::WrongOperatorKey, "the operator's key is wrong");
+        if !self.is_authorised(request.headers()) {
+            return refusal_response(ResultCode::WrongOperatorKey, "the operator's key is wrong");
         }
         let path = request.uri().path().to_owned();
         match (request.method(), path.as_str()) {
@@ -110,7 +110,7 @@
             (&Method::POST, "/v1/operator/edits") => self.edit(request).await,
             (&Method::GET, "/v1/operator/status") => self.status().await,
             (&Method::GET, "/v1/operator/cost") => self.cost().await,
-            _ => refused(
+            _ => refusal_response(
                 ResultCode::UnknownPath,
                 "operators' paths stand in docs/INTERFACES.md",
             ),
@@ -124,7 +124,7 @@
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         };
-        shown(status, &BTreeMap::from([("ready", is_ready)]))
+        serialised_response(status, &BTreeMap::from([("ready", is_ready)]))
     }
 
     async fn status(&self) -> Response<ResponseBody> {
@@ -132,40 +132,43 @@
             host: self.host.clone(),
             tree: self.tree.status().await,
             open_requests: self.callers.open_requests(),
-            decisions: self.parts.decisions.status().await,
-            planner: self.parts.planner.status(),
-            counters: self.parts.counters.totals(),
+            decisions: self.context.decisions.status().await,
+            planner: self.context.planner.status(),
+            counters: self.context.counters.totals(),
         };
-        shown(StatusCode::OK, &status)
+        serialised_response(StatusCode::OK, &status)
     }
 
     async fn cost(&self) -> Response<ResponseBody> {
-        shown(StatusCode::OK, &self.parts.decisions.status().await.costs)
+        serialised_response(StatusCode::OK, &self.context.decisions.status().await.costs)
     }
 
     fn show_tree(&self) -> Response<ResponseBody> {
-        let tree = self.parts.tree.borrow().tree().to_json();
+        let tree = self.context.tree.borrow().tree().to_json();
         json_response(StatusCode::OK, tree)
     }
 
     fn show_edits(&self, query: Option<&str>) -> Response<ResponseBody> {
         let since = query.and_then(|query| query.strip_prefix("since="));
         let Ok(since) = since.unwrap_or("0").parse() else {
-            return refused(ResultCode::MalformedRequest, "since must be a tree version");
+            return refusal_response(ResultCode::MalformedRequest, "since must be a tree version");
         };
-        shown(StatusCode::OK, &self.tree.edits_after(since))
+        serialised_response(StatusCode::OK, &self.tree.edits_after(since))
     }
 
     async fn edit(&self, request: Request<Incoming>) -> Response<ResponseBody> {
-        let body = match read_body(request.into_body(), MAX_EDIT_BYTES, PATIENCE).await {
+        let body = match read_body(request.into_body(), MAX_EDIT_BYTES, BODY_TIMEOUT).await {
             Ok(body) => body,
-            Err(error) => return refused(ResultCode::MalformedRequest, error.to_string()),
+            Err(error) => return refusal_response(ResultCode::MalformedRequest, error.to_string()),
         };
         let edit: EditRequest = match serde_json::from_slice(&body) {
             Ok(edit) => edit,
-            Err(error) => return refused(ResultCode::MalformedRequest, error.to_string()),
+            Err(error) => return refusal_response(ResultCode::MalformedRequest, error.to_string()),
         };
-        info!("entry: {} edits version {}", edit.by, edit.expected_version);
+        info!(
+            "entry: operator {} edits version {}",
+            edit.by, edit.expected_version
+        );
         let expected = edit.expected_version;
         if let Err(refusal) = self.check_zone(&edit.edit).await {
             return refusal;
@@ -175,19 +178,19 @@
             edit: edit.edit,
             by: edit.by,
         };
-        self.parts.counters.count("edit.proposed");
+        self.context.counters.count("edit.proposed");
         edit_response(expected, self.tree.edit(proposal).await)
     }
 
-    /// Refuses to evacuate a zone that no backend server is in.
+    /// Refuses to evacuate a zone that has no backend servers.
     ///
-    /// Guards against a slip in its name: accepted, operators would take the zone for empty while
-    /// work still goes there.
+    /// A mistyped zone name would otherwise be accepted, and operators would believe the zone empty
+    /// while requests are still sent to it.
     async fn check_zone(&self, edit: &TreeEdit) -> Result<(), Response<ResponseBody>> {
         let TreeEdit::EvacuateZone { zone } = edit else {
             return Ok(());
         };
-        let zones = self.parts.decisions.status().await.zones;
+        let zones = self.context.decisions.status().await.zones;
         if zones
             .iter()
             .any(|line| line.zone == *zone && line.servers > 0)
@@ -195,7 +198,7 @@
             return Ok(());
         }
         let known: Vec<_> = zones.iter().map(|line| line.zone.as_str()).collect();
-        Err(refused(
+        Err(refusal_response(
             ResultCode::NotFound,
             format!(
                 "no backend server is in availability zone {zone}: the host list has {}",
@@ -204,7 +207,7 @@
         ))
     }
 
-    fn is_allowed(&self, headers: &HeaderMap) -> bool {
+    fn is_authorised(&self, headers: &HeaderMap) -> bool {
         let value = headers
             .get(AUTHORIZATION)
             .and_then(|value| value.to_str().ok());
@@ -218,7 +221,7 @@
 
 fn edit_response(expected: TreeVersion, result: EditResult) -> Response<ResponseBody> {
     match result {
-        EditResult::Accepted(version) => shown(StatusCode::OK, &Accepted { version }),
+        EditResult::Accepted(version) => serialised_response(StatusCode::OK, &Accepted { version }),
         EditResult::Conflict(version, other_edits) => {
             let code = ResultCode::EditConflict;
             let body = Refused {
@@ -228,13 +231,13 @@
                 version_in_force: Some(version),
                 other_edits,
             };
-            shown(status(code), &body)
+            serialised_response(status(code), &body)
         }
-        EditResult::Invalid(error) => refused(error.code(), error.to_string()),
-        EditResult::Refused(code) => refused(code, code.text()),
+        EditResult::Invalid(error) => refusal_response(error.code(), error.to_string()),
+        EditResult::Refused(code) => refusal_response(code, code.text()),
         EditResult::Unknown => {
             let code = ResultCode::EditUnknown;
-            refused(
+            refusal_response(
                 code,
                 "the table did not settle the edit: look at the history later",
             )
@@ -242,10 +245,10 @@
     }
 }
 
-fn refused(code: ResultCode, text: impl Into<String>) -> Response<ResponseBody> {
+fn refusal_response(code: ResultCode, text: impl Into<String>) -> Response<ResponseBody> {
     let text = text.into();
     let (your_version, version_in_force, other_edits) = (None, None, Vec::new());
-    shown(
+    serialised_response(
         status(code),
         &Refused {
             code,
--- a/crates/amaranthscale/src/entry/connection/peer_http.rs
+++ b/crates/amaranthscale/src/entry/connection/peer_http.rs
@@ -1,4 +1,4 @@
-//! What other processes of the system ask an entry.
+//! HTTP interface for other processes of the system.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 use crate::process::{ControlKind, ControlTraffic};
 use crate::version::TreeSyncHandle;
 
-/// Longest message of a peer: a whole tree with some room to grow.
+/// Maximum size of a message; the largest is a whole tree, well below this.
 const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
-/// Longest wait for a peer's message.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout for reading a message.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Answers peers.
+/// HTTP handler for peers.
 #[derive(Debug, Clone)]
 pub struct PeerHttp {
     tree: TreeSyncHandle,
@@ -24,26 +24,26 @@
 }
 
 impl PeerHttp {
-    /// Answers peers of a process that keeps a tree.
+    /// Creates the handler of a process that replicates the settings tree.
     #[must_use]
     pub const fn new(tree: TreeSyncHandle, traffic: ControlTraffic) -> Self {
         Self { tree, traffic }
     }
 
-    /// Answers one message.
+    /// Handles one message.
     pub async fn handle(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         match request.uri().path() {
             "/tree/since" => self.since(request).await,
             "/tree/offer" => self.offer(request).await,
-            "/healthz" => of_status(StatusCode::OK),
-            _ => of_status(StatusCode::NOT_FOUND),
+            "/healthz" => status_response(StatusCode::OK),
+            _ => status_response(StatusCode::NOT_FOUND),
         }
     }
 
     async fn since(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let kind = ControlKind::TreeExchange;
         let Some(since) = self.message::<TreeRequest>(kind, request).await else {
-            return of_status(StatusCode::BAD_REQUEST);
+            return status_response(StatusCode::BAD_REQUEST);
         };
         let reply = wire::encode(&self.tree.since(since.version));
         self.traffic.count_sent(kind, reply.len());
@@ -53,19 +53,19 @@
     async fn offer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let kind = ControlKind::Edit;
         let Some(offer) = self.message::<TreeReply>(kind, request).await else {
-            return of_status(StatusCode::BAD_REQUEST);
+            return status_response(StatusCode::BAD_REQUEST);
         };
         self.tree.apply_offer(offer);
-        of_status(StatusCode::OK)
+        status_response(StatusCode::OK)
     }
 
-    /// Reads a message and counts it by kind.
+    /// Reads a message and counts it under a control kind.
     async fn message<T: DeserializeOwned>(
         &self,
         kind: ControlKind,
         request: Request<Incoming>,
     ) -> Option<T> {
-        let body = read_body(request.into_body(), MAX_MESSAGE_BYTES, PATIENCE)
+        let body = read_body(request.into_body(), MAX_MESSAGE_BYTES, BODY_TIMEOUT)
             .await
             .ok()?;
         self.traffic.count_message(kind);
@@ -74,7 +74,7 @@
     }
 }
 
-fn of_status(status: StatusCode) -> Response<ResponseBody> {
+fn status_response(status: StatusCode) -> Response<ResponseBody> {
     let mut response = Response::new(empty_body());
     *response.status_mut() = status;
     response
--- a/crates/amaranthscale/src/entry/connection/reply.rs
+++ b/crates/amaranthscale/src/entry/connection/reply.rs
@@ -1,4 +1,4 @@
-//! Answers as HTTP responses.
+//! HTTP responses for answers.
 
 use std::time::Duration;
 
@@ -14,17 +14,17 @@
 
 /// Header with the number of the result code.
 pub const CODE_HEADER: &str = "x-amaranth-code";
-/// Header that says whether the request ran.
+/// Header that states whether the request ran.
 pub const RAN_HEADER: &str = "x-amaranth-ran";
 /// Header with the request's id.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Header with the time to wait before asking again.
+/// Header with the time to wait before a retry.
 pub const RETRY_AFTER_MS_HEADER: &str = "x-retry-after-ms";
 
-/// Shortest wait that a retryable answer asks for when nothing better is known.
+/// Retry delay for a retryable answer that has no better estimate.
 const DEFAULT_RETRY_AFTER_MS: u64 = 1000;
 
-/// Fills in when to come back, so that no refusal leaves its caller to guess.
+/// Sets a default retry delay on a retryable answer that has none.
 #[must_use]
 pub fn with_retry_after(answer: Answer) -> Answer {
     if answer.retry_after_ms.is_none() && answer.code.is_retryable() {
@@ -38,8 +38,8 @@
 
 /// The response for a final answer.
 ///
-/// A plain service's complete answer goes out as its backend server gave it; everything else is
-/// an [`AnswerEnvelope`].
+/// The body is the backend server's own result for a completed call of a plain service, and an
+/// [`AnswerEnvelope`] otherwise.
 #[must_use]
 pub fn answer_response(
     id: RequestId,
@@ -78,20 +78,20 @@
     response
 }
 
-/// A response that shows a value as JSON.
+/// A response with a value serialised as JSON.
 #[must_use]
-pub fn shown(status: StatusCode, value: &impl Serialize) -> Response<ResponseBody> {
+pub fn serialised_response(status: StatusCode, value: &impl Serialize) -> Response<ResponseBody> {
     json_response(status, to_json(value))
 }
 
-/// A value as JSON.
+/// Serialises a value as JSON.
 #[must_use]
 pub fn to_json(value: &impl Serialize) -> Bytes {
-    // Our own types always have a JSON form; an empty body would only follow from a bug.
+    // Serialising these types cannot fail, so an empty body would be a bug.
     serde_json::to_vec(value).unwrap_or_default().into()
 }
 
-/// The HTTP status of a code.
+/// The HTTP status of a result code.
 #[must_use]
 pub fn status(code: ResultCode) -> StatusCode {
     StatusCode::from_u16(code.http_status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
--- a/crates/amaranthscale/src/entry/daemon.rs
+++ b/crates/amaranthscale/src/entry/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts and stops an entry.
+//! Start and graceful stop of an entry.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -15,7 +15,8 @@
 
 use super::connection::{CallerHttp, CallerLimits, OperatorHttp, PeerHttp};
 use super::process::{
-    Decision, Decisions, DecisionsArguments, DecisionsHandle, EntryParts, watch_hosts, watch_zones,
+    Decisions, DecisionsArguments, DecisionsHandle, DecisionsMessage, EntryContext, watch_hosts,
+    watch_zones,
 };
 use super::request::DeadlineLimits;
 use super::{EntryConfig, StartError};
@@ -25,11 +26,11 @@
     PlannerArguments, PlannerHandle, TreeSyncArguments, TreeSyncHandle, WriteGate,
 };
 
-/// Longest wait for peers' open questions when the entry stops; they ask others.
-const PEER_STOP_BOUND: Duration = Duration::from_millis(100);
+/// Longest wait for open requests of peers when the entry stops; peers retry elsewhere.
+const PEER_STOP_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// An answer on its way.
-type Answering = Pin<Box<dyn Future<Output = Response<ResponseBody>> + Send>>;
+/// Response of either HTTP interface, boxed so that both have one type.
+type ResponseFuture = Pin<Box<dyn Future<Output = Response<ResponseBody>> + Send>>;
 
 /// A running entry.
 #[derive(Debug)]
@@ -38,46 +39,46 @@
     peers: HttpServer,
     tree: TreeSyncHandle,
     planner: PlannerHandle,
-    decisions: ActorRef<Decision>,
+    decisions: ActorRef<DecisionsMessage>,
     host_watch: JoinHandle<()>,
     zone_watch: JoinHandle<()>,
 }
 
 impl Entry {
-    /// Starts an entry; it answers at once, and is ready when it has a settings tree.
+    /// Starts an entry; it listens at once and becomes ready when it has a settings tree.
     pub async fn start(config: EntryConfig) -> Result<Self, StartError> {
         let counters = Arc::new(match config.statsd {
             Some(address) => Counters::with_statsd("amaranth.entry", address)?,
             None => Counters::local("amaranth.entry"),
         });
-        let links = Links::new(&config, &counters);
+        let clients = Clients::new(&config, &counters);
         let (peer_addresses, addresses) = watch::channel(Vec::new());
-        let (known_hosts, hosts) = watch::channel(None);
-        let tree = start_tree(&config, &links, &counters, addresses).await?;
+        let (host_list, hosts) = watch::channel(None);
+        let tree = start_tree(&config, &clients, &counters, addresses).await?;
         let decisions = start_decisions(&config).await?;
-        let planner = start_planner(&config, &links, &counters, &tree, hosts).await?;
-        let parts = EntryParts {
+        let planner = start_planner(&config, &clients, &counters, &tree, hosts).await?;
+        let context = EntryContext {
             decisions: DecisionsHandle::new(decisions.clone()),
-            peers: Arc::clone(&links.peers),
-            platform: links.platform.with_kind(ControlKind::Claim),
+            peers: Arc::clone(&clients.peers),
+            platform: clients.platform.with_kind(ControlKind::Claim),
             counters,
             tree: tree.in_force(),
             planner: planner.clone(),
         };
-        let (callers, peers) = serve(&config, &parts, &tree).await?;
-        let zone_watch = tokio::spawn(watch_zones(tree.in_force(), parts.decisions.clone()));
+        let (callers, peers) = serve(&config, &context, &tree).await?;
+        let zone_watch = tokio::spawn(watch_zones(tree.in_force(), context.decisions.clone()));
         let watching = watch_hosts(
-            links.platform.with_kind(ControlKind::HostList),
-            parts.decisions,
+            clients.platform.with_kind(ControlKind::HostList),
+            context.decisions,
             config.host,
             config.host_poll_interval,
-            links.peers,
+            clients.peers,
             peer_addresses,
-            known_hosts,
+            host_list,
         );
         let host_watch = tokio::spawn(watching);
         info!(
-            "entry: listens at {} and {}",
+            "entry: listening on {} for callers and {} for peers",
             callers.address(),
             peers.address()
         );
@@ -92,13 +93,13 @@
         })
     }
 
-    /// Address for callers and operators.
+    /// Address that callers and operators connect to.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Address for other processes.
+    /// Address that other processes of the system connect to.
     #[must_use]
     pub const fn peer_address(&self) -> SocketAddr {
         self.peers.address()
@@ -116,34 +117,34 @@
         &self.planner
     }
 
-    /// Takes nothing new, lets open requests end, and says whether all did within the bound.
-    pub async fn stop(self, bound: Duration) -> bool {
-        info!("entry: stops, open requests end first");
-        let is_drained = self.callers.stop(bound).await;
+    /// Refuses new requests, waits for open ones and returns whether all ended within the timeout.
+    pub async fn stop(self, timeout: Duration) -> bool {
+        info!("entry: stopping, waiting for open requests");
+        let is_drained = self.callers.stop(timeout).await;
         if !is_drained {
-            warn!("entry: stopped with requests still open");
+            warn!("entry: stopped with open requests");
         }
         self.host_watch.abort();
         self.zone_watch.abort();
         self.planner.stop();
         self.tree.stop();
         self.decisions.stop(None);
-        self.peers.stop(PEER_STOP_BOUND).await;
+        self.peers.stop(PEER_STOP_TIMEOUT).await;
         is_drained
     }
 }
 
-/// Connections of an entry, counted by kind of control.
-struct Links {
+/// Clients of an entry, which count their traffic by control kind.
+struct Clients {
     platform: PlatformClient,
     peers: Arc<PeerClient>,
 }
 
-impl Links {
+impl Clients {
     fn new(config: &EntryConfig, counters: &Arc<Counters>) -> Self {
         let traffic = ControlTraffic::new(Arc::clone(counters));
         let limits = PeerClientLimits {
-            dead_peer_timeout: config.silence,
+            dead_peer_timeout: config.dead_peer_timeout,
             ..PeerClientLimits::default()
         };
         Self {
@@ -156,15 +157,15 @@
 
 async fn start_tree(
     config: &EntryConfig,
-    links: &Links,
+    clients: &Clients,
     counters: &Arc<Counters>,
     peer_addresses: watch::Receiver<Vec<SocketAddr>>,
 ) -> Result<TreeSyncHandle, StartError> {
     let arguments = TreeSyncArguments {
         host: config.host.clone(),
         settings: config.tree,
-        platform: links.platform.with_kind(ControlKind::TreePoll),
-        peers: Arc::clone(&links.peers),
+        platform: clients.platform.with_kind(ControlKind::TreePoll),
+        peers: Arc::clone(&clients.peers),
         peer_addresses,
         counters: Arc::clone(counters),
         seed: config.seed,
@@ -172,7 +173,7 @@
     Ok(TreeSyncHandle::start(arguments).await?)
 }
 
-async fn start_decisions(config: &EntryConfig) -> Result<ActorRef<Decision>, StartError> {
+async fn start_decisions(config: &EntryConfig) -> Result<ActorRef<DecisionsMessage>, StartError> {
     let arguments = DecisionsArguments {
         host: config.host.clone(),
         zone: config.zone.clone(),
@@ -186,7 +187,7 @@
 
 async fn start_planner(
     config: &EntryConfig,
-    links: &Links,
+    clients: &Clients,
     counters: &Arc<Counters>,
     tree: &TreeSyncHandle,
     hosts: watch::Receiver<Option<Arc<HostList>>>,
@@ -194,8 +195,8 @@
     let arguments = PlannerArguments {
         host: config.host.clone(),
         settings: config.planner,
-        platform: links.platform.with_kind(ControlKind::Placement),
-        peers: Arc::clone(&links.peers),
+        platform: clients.platform.with_kind(ControlKind::Placement),
+        peers: Arc::clone(&clients.peers),
         tree: tree.in_force(),
         is_tree_ready: tree.readiness(),
         hosts,
@@ -208,19 +209,19 @@
 
 async fn serve(
     config: &EntryConfig,
-    parts: &EntryParts,
+    context: &EntryContext,
     tree: &TreeSyncHandle,
 ) -> Result<(HttpServer, HttpServer), StartError> {
     let limits = HttpServerLimits {
         max_header_bytes: config.max_header_bytes,
         header_timeout: config.read_timeout,
     };
-    let front = front(config, parts, tree);
-    let callers = HttpServer::start(config.listen, limits, front).await;
+    let caller_service = caller_service(config, context, tree);
+    let callers = HttpServer::start(config.listen, limits, caller_service).await;
     let callers = callers.map_err(|cause| StartError::Listen(config.listen, cause))?;
     let peer_http = PeerHttp::new(
         tree.clone(),
-        ControlTraffic::new(Arc::clone(&parts.counters)),
+        ControlTraffic::new(Arc::clone(&context.counters)),
     );
     let peers = HttpServer::start(config.peer_listen, limits, move |request| {
         let peer_http = peer_http.clone();
@@ -231,11 +232,11 @@
     Ok((callers, peers))
 }
 
-fn front(
+fn caller_service(
     config: &EntryConfig,
-    parts: &EntryParts,
+    context: &EntryContext,
     tree: &TreeSyncHandle,
-) -> impl Fn(Request<Incoming>) -> Answering + Clone + Send + Sync + 'static + use<> {
+) -> impl Fn(Request<Incoming>) -> ResponseFuture + Clone + Send + Sync + 'static + use<> {
     let limits = CallerLimits {
         max_body_bytes: config.max_body_bytes,
         max_requests: config.max_requests,
@@ -245,13 +246,13 @@
         },
     };
     let host = config.host.clone();
-    let callers = CallerHttp::new(parts.clone(), tree.clone(), host.clone(), limits);
+    let callers = CallerHttp::new(context.clone(), tree.clone(), host.clone(), limits);
     let key = config.operator_key;
-    let operators = OperatorHttp::new(parts.clone(), tree.clone(), callers.clone(), host, key);
+    let operators = OperatorHttp::new(context.clone(), tree.clone(), callers.clone(), host, key);
     move |request| {
         let (callers, operators) = (callers.clone(), operators.clone());
         Box::pin(async move {
-            if OperatorHttp::takes(request.uri().path()) {
+            if OperatorHttp::handles(request.uri().path()) {
                 operators.handle(request).await
             } else {
                 callers.handle(request).await
--- a/crates/amaranthscale/src/entry/entry_config.rs
+++ b/crates/amaranthscale/src/entry/entry_config.rs
@@ -1,4 +1,4 @@
-//! What an entry is started with.
+//! Configuration of an entry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use crate::process::settings::EntrySettings;
 use crate::version::{PlannerSettings, TreeSyncSettings};
 
-/// What an entry is started with.
+/// Configuration of an entry.
 #[derive(Debug, Clone)]
 pub struct EntryConfig {
     /// Host of the entry.
@@ -22,38 +22,38 @@
     pub peer_listen: SocketAddr,
     /// Address of the platform.
     pub platform: SocketAddr,
-    /// Hash of the operators' key; without one, operators are refused.
+    /// Hash of the operators' key; without it all operator calls are refused.
     pub operator_key: Option<KeyHash>,
     /// Address that counters are sent to.
     pub statsd: Option<SocketAddr>,
-    /// Most bytes of a caller's headers.
+    /// Maximum size of a caller's headers.
     pub max_header_bytes: usize,
-    /// Longest body of a caller.
+    /// Maximum size of a caller's body.
     pub max_body_bytes: usize,
-    /// Most requests at once.
+    /// Maximum number of open requests.
     pub max_requests: usize,
-    /// Longest wait for a caller's headers or body.
+    /// Timeout for reading a caller's headers or body.
     pub read_timeout: Duration,
     /// Longest deadline that a caller may ask for.
     pub max_deadline: Duration,
-    /// Retries allowed for each hundred first tries.
+    /// Retries allowed per hundred first attempts.
     pub retry_percent: u32,
-    /// Hedges allowed for each hundred first tries.
+    /// Hedged attempts allowed per hundred first attempts.
     pub hedge_percent: u32,
-    /// How often to look for a newer tree.
+    /// Intervals at which newer settings trees are looked for.
     pub tree: TreeSyncSettings,
-    /// How this entry competes for planning the placement.
+    /// Intervals and lease of the placement planner.
     pub planner: PlannerSettings,
-    /// How often to read the host list.
+    /// Time between two reads of the host list.
     pub host_poll_interval: Duration,
-    /// Longest silence of a connection with open streams.
-    pub silence: Duration,
+    /// Time within which a dead connection with open streams is detected.
+    pub dead_peer_timeout: Duration,
     /// Seed of random choices.
     pub seed: u64,
 }
 
 impl EntryConfig {
-    /// Defaults for a host that knows its platform.
+    /// Default configuration for a host and the address of its platform.
     #[must_use]
     pub fn new(host: HostId, zone: ZoneId, platform: SocketAddr) -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -75,7 +75,7 @@
             tree: TreeSyncSettings::default(),
             planner: PlannerSettings::default(),
             host_poll_interval: Duration::from_secs(1),
-            silence: Duration::from_secs(1),
+            dead_peer_timeout: Duration::from_secs(1),
             seed: rand::random(),
         }
     }
@@ -97,7 +97,7 @@
             retry_percent: settings.retry.retry_percent,
             hedge_percent: settings.retry.hedge_percent,
             tree: TreeSyncSettings::from(&settings.tree),
-            silence: Duration::from_millis(settings.silence_ms),
+            dead_peer_timeout: Duration::from_millis(settings.silence_ms),
             ..Self::new(host, settings.zone.clone(), settings.platform)
         }
     }
--- a/crates/amaranthscale/src/entry/process/admission_question.rs
+++ b/crates/amaranthscale/src/entry/process/admission_query.rs
@@ -1,21 +1,21 @@
-//! What the admission of a request depends on.
+//! Input of the admission decision for a request.
 
 use amaranthscale_core::id::{OrganisationId, ServiceId};
 use amaranthscale_core::unit::{Class, RatePerSecond, TimeBudget};
 
-/// What the admission of a request depends on.
+/// Input of the admission decision for a request.
 #[derive(Debug, Clone)]
-pub struct AdmissionQuestion {
-    /// Organisation that asks.
+pub struct AdmissionQuery {
+    /// Organisation that sent the request.
     pub organisation: OrganisationId,
     /// Class of that organisation.
     pub class: Class,
-    /// Limit of that organisation over all entries.
+    /// Rate limit of that organisation over all entries.
     pub limit_per_second: RatePerSecond,
-    /// Most requests of that organisation at once.
+    /// Maximum number of open requests of that organisation.
     pub max_in_flight: u32,
-    /// Services of the stages to come.
+    /// Services of all stages.
     pub services: Vec<ServiceId>,
-    /// Time until the answer is due.
+    /// Time until the deadline.
     pub budget: TimeBudget,
 }
--- a/crates/amaranthscale/src/entry/process/attempt_kind.rs
+++ b/crates/amaranthscale/src/entry/process/attempt_kind.rs
@@ -1,14 +1,14 @@
-//! Why an attempt is sent, and so which budget pays for it.
+//! Reason for an attempt, which decides the budget that it is charged to.
 
-/// Why an attempt is sent, and so which budget pays for it.
+/// Reason for an attempt, which decides the budget that it is charged to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptKind {
-    /// The first of its stage; earns a share of a retry and of a hedge.
+    /// First attempt of its stage; adds to the retry and hedge budgets.
     First,
-    /// Sent anew after an attempt that never reached its sidecar; free.
+    /// Replaces an attempt that never reached its sidecar; not charged.
     Resend,
-    /// Sent after an attempt that ended without a result; the retry budget pays.
+    /// Follows an attempt that ended without a result; charged to the retry budget.
     Retry,
-    /// Sent beside an attempt that takes long; the budget of hedges pays.
+    /// Runs in parallel with a slow attempt; charged to the hedge budget.
     Hedge,
 }
--- a/crates/amaranthscale/src/entry/process/attempt_report.rs
+++ b/crates/amaranthscale/src/entry/process/attempt_report.rs
@@ -1,4 +1,4 @@
-//! How an attempt ended.
+//! Report of an ended attempt.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use amaranthscale_core::process::AttemptEnd;
 use amaranthscale_core::wire::{StageCost, Stamp};
 
-/// How an attempt ended, for routing and the books.
+/// Report of an ended attempt, for routing and cost accounting.
 #[derive(Debug, Clone)]
 pub struct AttemptReport {
     /// Host of the sidecar.
@@ -15,12 +15,12 @@
     pub end: AttemptEnd,
     /// Time from dispatch to end.
     pub elapsed: Duration,
-    /// State of the sidecar at the end, if it answered.
+    /// State of the sidecar when it answered, if it did.
     pub stamp: Option<Stamp>,
     /// Organisation that the work was for.
     pub organisation: OrganisationId,
-    /// Stage that the attempt worked on.
+    /// Stage that the attempt was made for.
     pub stage: String,
-    /// What the attempt cost.
+    /// Cost of the attempt.
     pub cost: StageCost,
 }
--- a/crates/amaranthscale/src/entry/process/decisions.rs
+++ b/crates/amaranthscale/src/entry/process/decisions.rs
@@ -1,7 +1,7 @@
-//! The actor that owns an entry's decisions: admission, limits, routing and retry budgets.
+//! The actor that makes an entry's decisions: admission, limits, routing and retry budgets.
 //!
-//! Requests run as tasks of their own and ask it in short messages. All of its state changes in
-//! one place and in one order, so the parts from the core need no locks.
+//! Each request runs as its own task and sends short messages to this actor. State changes only
+//! here, one message at a time, so the types from the core crate need no locks.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,39 +14,36 @@
 use ractor::{Actor, ActorProcessingErr, ActorRef, RpcReplyPort};
 
 use super::decisions_state::DecisionsState;
-use super::{AdmissionQuestion, AttemptReport, DecisionsStatus, Reservation, Route, RouteQuestion};
+use super::{AdmissionQuery, AttemptReport, DecisionsStatus, Reservation, Route, RouteQuery};
 
 /// A message to the actor.
 #[derive(Debug)]
-pub enum Decision {
-    /// May a request start?
-    Admit(
-        AdmissionQuestion,
-        RpcReplyPort<Result<Reservation, Refusal>>,
-    ),
-    /// An admission was not acted on.
-    NotStarted(OrganisationId),
-    /// A route was not acted on.
-    NotSent(HostId),
-    /// Which sidecar takes the next attempt?
-    Route(RouteQuestion, RpcReplyPort<Result<Route, Refusal>>),
-    /// A sidecar told its state.
-    Observe(Box<Stamp>),
+pub enum DecisionsMessage {
+    /// Asks whether a request may start.
+    Admit(AdmissionQuery, RpcReplyPort<Result<Reservation, Refusal>>),
+    /// Releases an admission that was not used.
+    ReleaseAdmission(OrganisationId),
+    /// Releases a route that was not used.
+    ReleaseRoute(HostId),
+    /// Asks for the sidecar of the next attempt.
+    Route(RouteQuery, RpcReplyPort<Result<Route, Refusal>>),
+    /// A sidecar reported its state.
+    ObserveStamp(Box<Stamp>),
     /// An attempt ended.
     AttemptEnded(Box<AttemptReport>),
     /// A request ended with its final code.
     RequestEnded(OrganisationId, Class, ResultCode),
     /// The host list changed.
-    Hosts(HostList),
-    /// Operators have evacuated these availability zones, and no others.
-    Evacuated(BTreeSet<ZoneId>),
-    /// Where is a host?
-    Address(HostId, RpcReplyPort<Option<SocketAddr>>),
-    /// What do the books say?
+    HostsChanged(HostList),
+    /// The complete set of evacuated availability zones.
+    EvacuatedZones(BTreeSet<ZoneId>),
+    /// Asks for the address of a host.
+    HostAddress(HostId, RpcReplyPort<Option<SocketAddr>>),
+    /// Asks for the actor's part of `/status`.
     Status(RpcReplyPort<DecisionsStatus>),
 }
 
-/// What the actor starts with.
+/// Arguments of the actor.
 #[derive(Debug, Clone)]
 pub struct DecisionsArguments {
     /// Host of the entry.
@@ -55,9 +52,9 @@
     pub zone: ZoneId,
     /// Seed of all random choices.
     pub seed: u64,
-    /// Retries allowed for each hundred first tries.
+    /// Retries allowed per hundred first attempts.
     pub retry_percent: u32,
-    /// Hedges allowed for each hundred first tries.
+    /// Hedged attempts allowed per hundred first attempts.
     pub hedge_percent: u32,
 }
 
@@ -66,13 +63,13 @@
 pub struct Decisions;
 
 impl Actor for Decisions {
-    type Msg = Decision;
+    type Msg = DecisionsMessage;
     type State = DecisionsState;
     type Arguments = DecisionsArguments;
 
     async fn pre_start(
         &self,
-        _myself: ActorRef<Decision>,
+        _myself: ActorRef<DecisionsMessage>,
         arguments: DecisionsArguments,
     ) -> Result<DecisionsState, ActorProcessingErr> {
         Ok(DecisionsState::new(arguments))
@@ -80,36 +77,36 @@
 
     async fn handle(
         &self,
-        myself: ActorRef<Decision>,
-        message: Decision,
+        myself: ActorRef<DecisionsMessage>,
+        message: DecisionsMessage,
         state: &mut DecisionsState,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            Decision::Admit(question, reply) => {
-                answer(reply, state.admit(&question, &myself));
+            DecisionsMessage::Admit(query, reply) => {
+                answer(reply, state.admit(&query, &myself));
             }
-            Decision::NotStarted(organisation) => state.not_started(&organisation),
-            Decision::Route(question, reply) => {
-                answer(reply, state.route(&question, &myself));
+            DecisionsMessage::ReleaseAdmission(id) => state.release_admission(&id),
+            DecisionsMessage::Route(query, reply) => {
+                answer(reply, state.route(&query, &myself));
             }
-            Decision::NotSent(host) => state.not_sent(&host),
-            Decision::Observe(stamp) => state.observe(&stamp),
-            Decision::AttemptEnded(report) => state.attempt_ended(&report),
-            Decision::RequestEnded(organisation, class, code) => {
+            DecisionsMessage::ReleaseRoute(host) => state.release_route(&host),
+            DecisionsMessage::ObserveStamp(stamp) => state.observe(&stamp),
+            DecisionsMessage::AttemptEnded(report) => state.attempt_ended(&report),
+            DecisionsMessage::RequestEnded(organisation, class, code) => {
                 state.request_ended(&organisation, class, code);
             }
-            Decision::Hosts(hosts) => state.take_hosts(hosts),
-            Decision::Evacuated(zones) => state.take_evacuated(zones),
-            Decision::Address(host, reply) => {
+            DecisionsMessage::HostsChanged(hosts) => state.apply_hosts(hosts),
+            DecisionsMessage::EvacuatedZones(zones) => state.apply_evacuated_zones(zones),
+            DecisionsMessage::HostAddress(host, reply) => {
                 answer(reply, state.address(&host));
             }
-            Decision::Status(reply) => answer(reply, state.status()),
+            DecisionsMessage::Status(reply) => answer(reply, state.status()),
         }
         Ok(())
     }
 }
 
 fn answer<T: Send + 'static>(reply: RpcReplyPort<T>, answer: T) {
-    // The asker may have gone away with its caller.
+    // The receiver is dropped if its caller has disconnected.
     let _ = reply.send(answer);
 }
--- a/crates/amaranthscale/src/entry/process/decisions_handle.rs
+++ b/crates/amaranthscale/src/entry/process/decisions_handle.rs
@@ -1,4 +1,4 @@
-//! What the requests of an entry ask its decisions.
+//! Handle that requests use to query the decisions actor.
 
 use std::net::SocketAddr;
 
@@ -9,61 +9,63 @@
 use ractor::rpc::CallResult;
 use ractor::{ActorRef, RpcReplyPort};
 
-use super::{AdmissionQuestion, Decision, DecisionsStatus, Reservation, Route, RouteQuestion};
+use super::{AdmissionQuery, DecisionsMessage, DecisionsStatus, Reservation, Route, RouteQuery};
 
-/// When to come back after the actor has stopped; only callers of a stopping entry see it.
+/// Retry delay for callers of an entry whose actor has already stopped.
 const STOPPING_RETRY_MS: u64 = 1000;
 
-/// Asks the actor.
+/// Sends messages to the actor.
 #[derive(Debug, Clone)]
 pub struct DecisionsHandle {
-    actor: ActorRef<Decision>,
+    actor: ActorRef<DecisionsMessage>,
 }
 
 impl DecisionsHandle {
-    /// Asks an actor that has been started.
+    /// Creates a handle of a started actor.
     #[must_use]
-    pub const fn new(actor: ActorRef<Decision>) -> Self {
+    pub const fn new(actor: ActorRef<DecisionsMessage>) -> Self {
         Self { actor }
     }
 
-    /// Whether a request may start.
-    pub async fn admit(&self, question: AdmissionQuestion) -> Result<Reservation, Refusal> {
-        self.ask(|reply| Decision::Admit(question, reply))
+    /// Asks whether a request may start.
+    pub async fn admit(&self, query: AdmissionQuery) -> Result<Reservation, Refusal> {
+        self.query(|reply| DecisionsMessage::Admit(query, reply))
             .await
-            .unwrap_or_else(|| Err(stopping()))
+            .unwrap_or_else(|| Err(stopping_refusal()))
     }
 
-    /// The sidecar for the next attempt.
-    pub async fn route(&self, question: RouteQuestion) -> Result<Route, Refusal> {
-        self.ask(|reply| Decision::Route(question, reply))
+    /// Asks for the sidecar of the next attempt.
+    pub async fn route(&self, query: RouteQuery) -> Result<Route, Refusal> {
+        self.query(|reply| DecisionsMessage::Route(query, reply))
             .await
-            .unwrap_or_else(|| Err(stopping()))
+            .unwrap_or_else(|| Err(stopping_refusal()))
     }
 
-    /// The address of a host that the host list shows.
+    /// The address of a host, if the host list contains it.
     pub async fn address(&self, host: &HostId) -> Option<SocketAddr> {
         let host = host.clone();
-        self.ask(|reply| Decision::Address(host, reply))
+        self.query(|reply| DecisionsMessage::HostAddress(host, reply))
             .await
             .flatten()
     }
 
-    /// What the books say.
+    /// The actor's part of `/status`.
     pub async fn status(&self) -> DecisionsStatus {
-        self.ask(Decision::Status).await.unwrap_or_default()
+        self.query(DecisionsMessage::Status)
+            .await
+            .unwrap_or_default()
     }
 
-    /// Tells the actor something that needs no answer.
-    pub fn tell(&self, message: Decision) {
+    /// Sends a message that needs no reply.
+    pub fn send(&self, message: DecisionsMessage) {
         if self.actor.cast(message).is_err() {
-            debug!("entry: decisions have stopped, a report is dropped");
+            debug!("entry: decisions actor has stopped, message dropped");
         }
     }
 
-    async fn ask<T: Send + 'static>(
+    async fn query<T: Send + 'static>(
         &self,
-        message: impl FnOnce(RpcReplyPort<T>) -> Decision,
+        message: impl FnOnce(RpcReplyPort<T>) -> DecisionsMessage,
     ) -> Option<T> {
         match self.actor.call(message, None).await {
             Ok(CallResult::Success(answer)) => Some(answer),
@@ -72,7 +74,7 @@
     }
 }
 
-const fn stopping() -> Refusal {
+const fn stopping_refusal() -> Refusal {
     Refusal {
         code: ResultCode::NotReady,
         retry_after_ms: STOPPING_RETRY_MS,
--- a/crates/amaranthscale/src/entry/process/decisions_state.rs
+++ b/crates/amaranthscale/src/entry/process/decisions_state.rs
@@ -1,4 +1,4 @@
-//! What an entry decides by, and the decisions themselves.
+//! State of the decisions actor and the decisions made from it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -19,16 +19,16 @@
 use super::decisions_status::{AttainmentLine, CostLine, ZoneLine};
 use super::hedges::Hedges;
 use super::{
-    AdmissionQuestion, AttemptKind, AttemptReport, Decision, DecisionsArguments, DecisionsStatus,
-    KnownSidecar, Reservation, Route, RouteQuestion,
+    AdmissionQuery, AttemptKind, AttemptReport, DecisionsArguments, DecisionsMessage,
+    DecisionsStatus, ObservedSidecar, Reservation, Route, RouteQuery,
 };
 use crate::process::ms;
 
-/// When to come back after the retry budget was found empty; long enough for it to fill.
-const OUT_OF_RETRIES_MS: u64 = 500;
-/// When to come back after the later stages were found to need all that is left; their queues move
-/// within it.
-const TOO_LATE_MS: u64 = 500;
+/// Retry delay when the retry budget is empty; long enough for it to refill.
+const RETRY_BUDGET_REFILL_MS: u64 = 500;
+/// Retry delay when the later stages need all of the remaining time; their queues shorten within
+/// it.
+const LATE_STAGE_RETRY_MS: u64 = 500;
 /// State of the actor.
 #[derive(Debug)]
 pub struct DecisionsState {
@@ -43,7 +43,7 @@
     in_flight: u64,
     live_entries: u32,
     hosts: HostList,
-    /// Evacuated availability zones, each since when.
+    /// Evacuated availability zones and when each evacuation was first seen.
     evacuated: BTreeMap<ZoneId, Instant>,
 }
 
@@ -71,31 +71,31 @@
 
     pub(super) fn admit(
         &mut self,
-        question: &AdmissionQuestion,
-        myself: &ActorRef<Decision>,
+        query: &AdmissionQuery,
+        myself: &ActorRef<DecisionsMessage>,
     ) -> Result<Reservation, Refusal> {
         let now = self.now();
-        let estimates = self.estimates(&question.services, question.class);
+        let estimates = self.estimates(&query.services, query.class);
         self.admission
-            .decide(question.budget, &estimates, question.class, now)?;
+            .decide(query.budget, &estimates, query.class, now)?;
         self.limits.admit(
-            &question.organisation,
-            Some(question.limit_per_second),
-            Some(question.max_in_flight),
+            &query.organisation,
+            Some(query.limit_per_second),
+            Some(query.max_in_flight),
             self.live_entries,
             now,
         )?;
         self.in_flight += 1;
-        let undo = Decision::NotStarted(question.organisation.clone());
-        Ok(Reservation::new(myself.clone(), undo))
+        let release = DecisionsMessage::ReleaseAdmission(query.organisation.clone());
+        Ok(Reservation::new(myself.clone(), release))
     }
 
-    pub(super) fn not_started(&mut self, organisation: &OrganisationId) {
+    pub(super) fn release_admission(&mut self, organisation: &OrganisationId) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.limits.ended(organisation);
     }
 
-    pub(super) fn not_sent(&mut self, host: &HostId) {
+    pub(super) fn release_route(&mut self, host: &HostId) {
         let now = self.now();
         self.router
             .ended(host, AttemptEnd::Cancelled, Duration::ZERO, now);
@@ -103,49 +103,52 @@
 
     pub(super) fn route(
         &mut self,
-        question: &RouteQuestion,
-        myself: &ActorRef<Decision>,
+        query: &RouteQuery,
+        myself: &ActorRef<DecisionsMessage>,
     ) -> Result<Route, Refusal> {
         let now = self.now();
-        let stage_due = self.stage_due(question);
-        // An attempt without any time would be refused by each sidecar in turn as expired, and cost
-        // the retries of others.
-        if question.is_repeatable && stage_due <= Instant::now() {
-            return Err(Refusal::new(ResultCode::DeadlineUnreachable, TOO_LATE_MS));
+        let stage_deadline = self.stage_deadline(query);
+        // Each sidecar in turn would refuse an attempt without any time left as expired, which
+        // would use up the retry budget of other requests.
+        if query.is_repeatable && stage_deadline <= Instant::now() {
+            return Err(Refusal::new(
+                ResultCode::DeadlineUnreachable,
+                LATE_STAGE_RETRY_MS,
+            ));
         }
-        self.pay(question.kind)?;
+        self.charge(query.kind)?;
         let host = self.router.choose_for(
-            &question.service,
-            &question.exclude,
-            question.affinity,
-            question.is_repeatable,
+            &query.service,
+            &query.exclude,
+            query.affinity,
+            query.is_repeatable,
             now,
         )?;
         let address = self.router.host(&host).map(|record| record.address);
-        let no_server = Refusal::new(ResultCode::NoBackendServer, OUT_OF_RETRIES_MS);
+        let no_server = Refusal::new(ResultCode::NoBackendServer, RETRY_BUDGET_REFILL_MS);
         let address = address.ok_or(no_server)?;
         self.router.started(&host, now);
-        let known = self
+        let observed = self
             .router
             .incarnation(&host)
             .map(|(incarnation, clock, seen_at)| {
                 let clock = clock.plus(now.saturating_sub(seen_at));
-                KnownSidecar { incarnation, clock }
+                ObservedSidecar { incarnation, clock }
             });
-        let undo = Decision::NotSent(host.clone());
+        let release = DecisionsMessage::ReleaseRoute(host.clone());
         Ok(Route {
             host,
             address,
-            known,
-            stage_due,
-            hedge_after: self.hedge_after(question),
-            reservation: Reservation::new(myself.clone(), undo),
+            observed,
+            stage_deadline,
+            hedge_after: self.hedge_after(query),
+            reservation: Reservation::new(myself.clone(), release),
         })
     }
 
-    /// Takes an attempt from the budget that pays for it.
-    fn pay(&mut self, kind: AttemptKind) -> Result<(), Refusal> {
-        let is_paid = match kind {
+    /// Charges an attempt to its budget.
+    fn charge(&mut self, kind: AttemptKind) -> Result<(), Refusal> {
+        let is_charged = match kind {
             AttemptKind::First => {
                 self.retries.first_try();
                 self.hedges.first_try();
@@ -155,36 +158,39 @@
             AttemptKind::Retry => self.retries.try_retry(),
             AttemptKind::Hedge => self.hedges.try_hedge(),
         };
-        if is_paid {
+        if is_charged {
             Ok(())
         } else {
-            Err(Refusal::new(ResultCode::NoBackendServer, OUT_OF_RETRIES_MS))
+            Err(Refusal::new(
+                ResultCode::NoBackendServer,
+                RETRY_BUDGET_REFILL_MS,
+            ))
         }
     }
 
-    /// When a second attempt may run beside the one in question.
+    /// Delay after which an attempt may be hedged.
     ///
-    /// Guards against a settlement that is made twice: two attempts at once are two calls, so only
-    /// what may be repeated is ever hedged.
-    fn hedge_after(&self, question: &RouteQuestion) -> Option<Duration> {
-        if question.kind != AttemptKind::First || !question.is_repeatable {
+    /// Two parallel attempts are two calls, so only repeatable calls are hedged; a hedged
+    /// settlement could be paid twice.
+    fn hedge_after(&self, query: &RouteQuery) -> Option<Duration> {
+        if query.kind != AttemptKind::First || !query.is_repeatable {
             return None;
         }
-        self.hedges.delay(&question.service)
+        self.hedges.delay(&query.service)
     }
 
-    /// When the stage must be done, so that the later stages still fit.
+    /// Time by which the stage must end so that the later stages meet the deadline.
     ///
-    /// Guards against a call that may not be repeated being refused for the sake of later stages
-    /// by an estimate: its caller could not tell whether to ask again. It keeps the whole rest.
-    fn stage_due(&self, question: &RouteQuestion) -> Instant {
-        if !question.is_repeatable {
-            return question.due;
+    /// A call that may not be repeated gets all of the remaining time: refused because of an
+    /// estimate for later stages, its caller could not tell whether to retry.
+    fn stage_deadline(&self, query: &RouteQuery) -> Instant {
+        if !query.is_repeatable {
+            return query.deadline;
         }
         let now = Instant::now();
-        let left = TimeBudget::new(question.due.saturating_duration_since(now));
-        let later = self.estimates(&question.later, question.class);
-        now + Admission::stage_budget(left, &later).duration()
+        let left = TimeBudget::new(query.deadline.saturating_duration_since(now));
+        let later_estimates = self.estimates(&query.later_services, query.class);
+        now + Admission::stage_budget(left, &later_estimates).duration()
     }
 
     fn estimates(&self, services: &[ServiceId], class: Class) -> Vec<StageEstimate> {
@@ -225,7 +231,7 @@
         self.attainment.record(class, organisation, code, true);
     }
 
-    pub(super) fn take_hosts(&mut self, hosts: HostList) {
+    pub(super) fn apply_hosts(&mut self, hosts: HostList) {
         let now = self.now();
         let entries = hosts
             .hosts
@@ -235,14 +241,14 @@
         self.live_entries = u32::try_from(entries).unwrap_or(u32::MAX).max(1);
         self.router.set_hosts(&hosts, now);
         info!(
-            "entry: host list {} with {} hosts is in use",
+            "entry: applied host list {} with {} hosts",
             hosts.version,
             hosts.hosts.len()
         );
         self.hosts = hosts;
     }
 
-    pub(super) fn take_evacuated(&mut self, zones: BTreeSet<ZoneId>) {
+    pub(super) fn apply_evacuated_zones(&mut self, zones: BTreeSet<ZoneId>) {
         self.router.set_evacuated(&zones);
         for zone in zones
             .iter()
@@ -250,19 +256,19 @@
         {
             info!("entry: availability zone {zone} is evacuated");
         }
-        let is_back = |zone: &&ZoneId| !zones.contains(*zone);
-        for zone in self.evacuated.keys().filter(is_back) {
+        let is_taken_back = |zone: &&ZoneId| !zones.contains(*zone);
+        for zone in self.evacuated.keys().filter(is_taken_back) {
             info!("entry: availability zone {zone} is taken back");
         }
-        let mut former = std::mem::take(&mut self.evacuated);
+        let mut previous = std::mem::take(&mut self.evacuated);
         let since = |zone: ZoneId| {
-            let since = former.remove(&zone).unwrap_or_else(Instant::now);
+            let since = previous.remove(&zone).unwrap_or_else(Instant::now);
             (zone, since)
         };
         self.evacuated = zones.into_iter().map(since).collect();
     }
 
-    /// Availability zones of the host list and those that are evacuated, with their servers.
+    /// Status of each availability zone that is in the host list or evacuated.
     fn zone_lines(&self) -> Vec<ZoneLine> {
         let mut servers: BTreeMap<&ZoneId, usize> = BTreeMap::new();
         for host in self
@@ -304,7 +310,7 @@
         self.costs.totals().map(line).collect()
     }
 
-    /// Where a host is, if the host list shows it.
+    /// The address of a host, if the host list contains it.
     pub(super) fn address(&self, host: &HostId) -> Option<SocketAddr> {
         self.router.host(host).map(|record| record.address)
     }
--- a/crates/amaranthscale/src/entry/process/decisions_status.rs
+++ b/crates/amaranthscale/src/entry/process/decisions_status.rs
@@ -1,4 +1,4 @@
-//! What the books of an entry say.
+//! The decisions actor's part of `/status`.
 
 use amaranthscale_core::id::{OrganisationId, ZoneId};
 use amaranthscale_core::process::{AttainmentCounts, CostTotals};
@@ -8,13 +8,13 @@
 /// The actor's part of `/status`.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct DecisionsStatus {
-    /// Requests that have started and not ended.
+    /// Requests that have started and not yet ended.
     pub in_flight: u64,
     /// Version of the host list in use.
     pub host_list_version: u64,
     /// Hosts in the host list.
     pub hosts: usize,
-    /// Availability zones with backend servers.
+    /// Availability zones and their backend servers.
     pub zones: Vec<ZoneLine>,
     /// Final answers by class and organisation.
     pub attainment: Vec<AttainmentLine>,
@@ -22,14 +22,14 @@
     pub costs: Vec<CostLine>,
 }
 
-/// An availability zone as the entry uses it.
+/// Status of an availability zone.
 #[derive(Debug, Clone, Serialize)]
 pub struct ZoneLine {
     /// The zone.
     pub zone: ZoneId,
     /// Backend servers in the host list.
     pub servers: usize,
-    /// Time since its evacuation is in force here; none while it is in use.
+    /// Time since this entry applied the evacuation; absent while the zone is in use.
     pub evacuated_ms: Option<u64>,
 }
 
@@ -40,7 +40,7 @@
     pub class: Class,
     /// The organisation.
     pub organisation: OrganisationId,
-    /// Its answers.
+    /// Counts of its answers.
     #[serde(flatten)]
     pub counts: AttainmentCounts,
 }
@@ -50,7 +50,7 @@
 pub struct CostLine {
     /// Organisation that the work was for.
     pub organisation: OrganisationId,
-    /// Stage that did it.
+    /// Stage that did the work.
     pub stage: String,
     /// Cost since the entry started.
     #[serde(flatten)]
--- a/crates/amaranthscale/src/entry/process/parts.rs
+++ b/crates/amaranthscale/src/entry/process/entry_context.rs
@@ -1,4 +1,4 @@
-//! The parts of an entry that its requests share.
+//! Handles and clients that all requests of an entry share.
 
 use std::sync::Arc;
 
@@ -10,19 +10,19 @@
 use crate::process::{Counters, PlatformClient};
 use crate::version::PlannerHandle;
 
-/// Shared by all requests of an entry; cheap to clone.
+/// Handles and clients that all requests of an entry share; cheap to clone.
 #[derive(Debug, Clone)]
-pub struct EntryParts {
-    /// Decisions of the entry.
+pub struct EntryContext {
+    /// Handle of the decisions actor.
     pub decisions: DecisionsHandle,
-    /// Connections to sidecars.
+    /// Client of the sidecars.
     pub peers: Arc<PeerClient>,
-    /// Connection to the platform.
+    /// Client of the platform.
     pub platform: PlatformClient,
     /// Counters of the entry.
     pub counters: Arc<Counters>,
     /// Settings tree in force.
     pub tree: watch::Receiver<Arc<CompiledTree>>,
-    /// Planner of the placement.
+    /// Handle of the placement planner.
     pub planner: PlannerHandle,
 }
--- a/crates/amaranthscale/src/entry/process/hedges.rs
+++ b/crates/amaranthscale/src/entry/process/hedges.rs
@@ -1,4 +1,4 @@
-//! When to send a second attempt beside a slow first one, by service.
+//! Hedging: when a second attempt is sent in parallel with a slow one, by service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use amaranthscale_core::id::ServiceId;
 use amaranthscale_core::process::{HedgePolicy, RetryBudget};
 
-/// Percentile of a service's times after which an attempt is hedged; 95 hedges usual work.
+/// Percentile of a service's attempt times after which a hedge is sent; 95 would hedge normal work.
 const HEDGE_PERCENTILE: u8 = 99;
 
-/// The budget of hedges, and the usual times of each service.
+/// Hedge budget of the entry and attempt times of each service.
 #[derive(Debug)]
 pub(super) struct Hedges {
     budget: RetryBudget,
@@ -17,7 +17,7 @@
 }
 
 impl Hedges {
-    /// Allows so many hedges for each hundred first tries.
+    /// Creates a budget of hedges per hundred first attempts.
     pub(super) const fn new(percent: u32) -> Self {
         Self {
             budget: RetryBudget::new(percent),
@@ -25,17 +25,17 @@
         }
     }
 
-    /// Counts a first try, which earns its share of a hedge.
+    /// Counts a first attempt, which adds to the budget.
     pub(super) fn first_try(&mut self) {
         self.budget.first_try();
     }
 
-    /// Takes one hedge; false if none is left.
+    /// Charges one hedge to the budget; false if the budget is empty.
     pub(super) const fn try_hedge(&mut self) -> bool {
         self.budget.try_retry()
     }
 
-    /// Takes in how long a complete attempt took.
+    /// Records the duration of a complete attempt.
     pub(super) fn record(&mut self, service: &ServiceId, elapsed: Duration) {
         if !self.policies.contains_key(service) {
             let policy = HedgePolicy::new(HEDGE_PERCENTILE);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Time after which an attempt at a service is hedged; none while too little was measured.
+    /// Delay after which an attempt is hedged; `None` until enough attempts were measured.
     pub(super) fn delay(&self, service: &ServiceId) -> Option<Duration> {
         self.policies.get(service)?.delay()
     }
--- a/crates/amaranthscale/src/entry/process/host_watch.rs
+++ b/crates/amaranthscale/src/entry/process/host_watch.rs
@@ -1,4 +1,4 @@
-//! Keeps the entry's view of the hosts.
+//! Task that polls the host list.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,12 +9,12 @@
 use amaranthscale_core::wire::HostList;
 use tokio::sync::watch;
 
-use super::{Decision, DecisionsHandle};
+use super::{DecisionsHandle, DecisionsMessage};
 use crate::connection::PeerClient;
 use crate::process::{PlatformClient, poll_hosts};
 use crate::version::exchange_peers;
 
-/// Polls the host list and tells the decisions of each change; ends with its task.
+/// Polls the host list and passes each change to its users; never returns.
 pub async fn watch_hosts(
     platform: PlatformClient,
     decisions: DecisionsHandle,
@@ -22,14 +22,14 @@
     every: Duration,
     peers: Arc<PeerClient>,
     peer_addresses: watch::Sender<Vec<SocketAddr>>,
-    known_hosts: watch::Sender<Option<Arc<HostList>>>,
+    host_list: watch::Sender<Option<Arc<HostList>>>,
 ) {
     poll_hosts(platform, every, move |hosts| {
         let known: BTreeSet<SocketAddr> = hosts.hosts.iter().map(|host| host.address).collect();
         peers.retain(|address| known.contains(address));
         peer_addresses.send_replace(exchange_peers(&own_host, &hosts.hosts));
-        known_hosts.send_replace(Some(Arc::new(hosts.clone())));
-        decisions.tell(Decision::Hosts(hosts));
+        host_list.send_replace(Some(Arc::new(hosts.clone())));
+        decisions.send(DecisionsMessage::HostsChanged(hosts));
     })
     .await;
 }
--- a/crates/amaranthscale/src/entry/process/reservation.rs
+++ b/crates/amaranthscale/src/entry/process/reservation.rs
@@ -1,42 +1,41 @@
-//! What the decisions have set aside for whoever asked.
+//! Admissions and routes that are counted before they are used.
 
 use ractor::ActorRef;
 
-use super::Decision;
+use super::DecisionsMessage;
 
-/// Something set aside with an answer, given back unless it is kept.
+/// A count that is released on drop unless it is committed.
 ///
-/// Guards against a caller who goes away while its question is under way: the answer is dropped
-/// unread, and the host, or the organisation, would count a request in flight for good. Over days
-/// such hosts look loaded and such organisations are refused (2102) while nothing runs. The answer
-/// carries its own undoing, so it takes effect wherever the answer is dropped.
+/// If a caller disconnects while the actor replies, the reply is dropped unread. Without the
+/// release its host and organisation would count a request in flight forever: over days hosts look
+/// loaded and organisations are refused (2102) while nothing runs.
 #[derive(Debug)]
 pub struct Reservation {
-    actor: ActorRef<Decision>,
-    undo: Option<Decision>,
+    actor: ActorRef<DecisionsMessage>,
+    release: Option<DecisionsMessage>,
 }
 
 impl Reservation {
-    /// Sets something aside that a message gives back.
+    /// Creates a reservation that this message releases.
     #[must_use]
-    pub const fn new(actor: ActorRef<Decision>, undo: Decision) -> Self {
+    pub const fn new(actor: ActorRef<DecisionsMessage>, release: DecisionsMessage) -> Self {
         Self {
             actor,
-            undo: Some(undo),
+            release: Some(release),
         }
     }
 
-    /// Keeps it; whoever keeps it reports its end.
-    pub fn keep(&mut self) {
-        self.undo = None;
+    /// Disables the release; from now on the holder must report the end.
+    pub fn commit(&mut self) {
+        self.release = None;
     }
 }
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        if let Some(undo) = self.undo.take() {
-            // A stopped actor has no books left to set right.
-            let _ = self.actor.cast(undo);
+        if let Some(release) = self.release.take() {
+            // A stopped actor has no counts to correct.
+            let _ = self.actor.cast(release);
         }
     }
 }
--- a/crates/amaranthscale/src/entry/process/route.rs
+++ b/crates/amaranthscale/src/entry/process/route.rs
@@ -1,4 +1,4 @@
-//! The choice of a sidecar for an attempt: what is asked, and what is answered.
+//! Input and result of the choice of a sidecar for an attempt.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,33 +9,33 @@
 
 use super::{AttemptKind, Reservation};
 
-/// What the choice of a sidecar depends on.
+/// Input of the choice of a sidecar.
 #[derive(Debug, Clone)]
-pub struct RouteQuestion {
+pub struct RouteQuery {
     /// Service of the stage.
     pub service: ServiceId,
     /// Services of the stages after it.
-    pub later: Vec<ServiceId>,
-    /// Class of the organisation that asks.
+    pub later_services: Vec<ServiceId>,
+    /// Class of the requesting organisation.
     pub class: Class,
-    /// Hosts that this stage has tried.
+    /// Hosts that this stage has already tried.
     pub exclude: Vec<HostId>,
     /// Hash of the prompt's prefix.
     pub affinity: Option<u64>,
-    /// Why the attempt is sent.
+    /// Reason for the attempt.
     pub kind: AttemptKind,
     /// Whether the call may be repeated.
     pub is_repeatable: bool,
-    /// When the request's answer is due.
-    pub due: Instant,
+    /// Deadline of the request.
+    pub deadline: Instant,
 }
 
-/// What an entry knows of a sidecar's present life.
+/// Incarnation of a sidecar and an estimate of its clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KnownSidecar {
-    /// Life of the sidecar.
+pub struct ObservedSidecar {
+    /// Incarnation of the sidecar.
     pub incarnation: Incarnation,
-    /// Reading of its clock now, as reckoned here.
+    /// Current reading of its clock, as estimated here.
     pub clock: SidecarClock,
 }
 
@@ -46,12 +46,12 @@
     pub host: HostId,
     /// Address of the sidecar.
     pub address: SocketAddr,
-    /// Its present life, if it has answered before.
-    pub known: Option<KnownSidecar>,
-    /// When the stage must be done, so that the later stages still fit before the deadline.
-    pub stage_due: Instant,
-    /// Time after which a second attempt may be sent beside this one.
+    /// Its incarnation and clock, if it has answered before.
+    pub observed: Option<ObservedSidecar>,
+    /// Time by which the stage must end so that the later stages meet the deadline.
+    pub stage_deadline: Instant,
+    /// Delay after which this attempt may be hedged.
     pub hedge_after: Option<Duration>,
-    /// Counts the attempt as in flight there.
+    /// Counts the attempt as in flight at the host.
     pub reservation: Reservation,
 }
--- a/crates/amaranthscale/src/entry/process/zone_watch.rs
+++ b/crates/amaranthscale/src/entry/process/zone_watch.rs
@@ -1,4 +1,4 @@
-//! Keeps the entry's view of the evacuated availability zones.
+//! Task that follows evacuations of availability zones.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -7,16 +7,16 @@
 use amaranthscale_core::version::CompiledTree;
 use tokio::sync::watch;
 
-use super::{Decision, DecisionsHandle};
+use super::{DecisionsHandle, DecisionsMessage};
 
-/// Tells the decisions of each evacuation that the tree in force holds; ends with its task.
+/// Sends the evacuated zones of each settings tree in force to the decisions actor.
 pub async fn watch_zones(mut tree: watch::Receiver<Arc<CompiledTree>>, decisions: DecisionsHandle) {
-    let mut told: BTreeSet<ZoneId> = BTreeSet::new();
+    let mut reported: BTreeSet<ZoneId> = BTreeSet::new();
     loop {
         let zones = tree.borrow_and_update().tree().evacuated_zones.clone();
-        if zones != told {
-            decisions.tell(Decision::Evacuated(zones.clone()));
-            told = zones;
+        if zones != reported {
+            decisions.send(DecisionsMessage::EvacuatedZones(zones.clone()));
+            reported = zones;
         }
         if tree.changed().await.is_err() {
             return;
--- a/crates/amaranthscale/src/entry/request/answer.rs
+++ b/crates/amaranthscale/src/entry/request/answer.rs
@@ -1,4 +1,4 @@
-//! The one final answer of a request.
+//! The final answer of a request.
 
 use amaranthscale_core::id::RequestId;
 use amaranthscale_core::process::Refusal;
@@ -7,12 +7,12 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// Final answer, before it is written as HTTP.
+/// The final answer of a request, independent of HTTP.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     /// Numbered result.
     pub code: ResultCode,
-    /// When to come back, for a refusal.
+    /// Retry delay, for a refusal.
     pub retry_after_ms: Option<u64>,
     /// Status of the backend server, for a plain service that answered; 0 otherwise.
     pub backend_status: u16,
@@ -32,9 +32,9 @@
         }
     }
 
-    /// An answer that is only a code.
+    /// An answer without a result.
     #[must_use]
-    pub const fn of_code(code: ResultCode) -> Self {
+    pub const fn from_code(code: ResultCode) -> Self {
         Self {
             code,
             retry_after_ms: None,
@@ -43,19 +43,19 @@
         }
     }
 
-    /// A refusal that says when to come back.
+    /// A refusal with a retry delay.
     #[must_use]
     pub fn refused(code: ResultCode, retry_after_ms: u64) -> Self {
         Self {
             retry_after_ms: Some(retry_after_ms),
-            ..Self::of_code(code)
+            ..Self::from_code(code)
         }
     }
 }
 
 impl From<ResultCode> for Answer {
     fn from(code: ResultCode) -> Self {
-        Self::of_code(code)
+        Self::from_code(code)
     }
 }
 
@@ -65,18 +65,18 @@
     }
 }
 
-/// JSON form of an answer, for pipelines and for everything that is not complete.
+/// JSON form of an answer, used for pipelines and for every answer that is not complete.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct AnswerEnvelope {
-    /// Request that this answers.
+    /// Id of the request.
     pub request_id: RequestId,
     /// Number of the result code.
     pub code: ResultCode,
-    /// One sentence on the code.
+    /// Description of the code.
     pub text: String,
     /// Whether the request ran.
     pub ran: Ran,
-    /// When to come back.
+    /// Retry delay.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after_ms: Option<u64>,
     /// Result of the last stage.
@@ -85,7 +85,7 @@
 }
 
 impl AnswerEnvelope {
-    /// The envelope of an answer; a result that is no JSON becomes a JSON string.
+    /// Creates the envelope of an answer; a result that is not JSON becomes a JSON string.
     #[must_use]
     pub fn new(request_id: RequestId, answer: &Answer) -> Self {
         Self {
--- a/crates/amaranthscale/src/entry/request/attempt_run.rs
+++ b/crates/amaranthscale/src/entry/request/attempt_run.rs
@@ -1,4 +1,4 @@
-//! One attempt at one sidecar, from dispatch to what became of it.
+//! One attempt at one sidecar, from dispatch to its outcome.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,117 +18,127 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 use crate::connection::{ConnectionNumber, FrameReader, PeerConnection, read_body};
-use crate::entry::process::EntryParts;
+use crate::entry::process::EntryContext;
 use crate::process::ControlKind;
 
-/// Longest answer to a revocation.
+/// Maximum size of a reply to a revocation.
 const MAX_REVOKE_REPLY_BYTES: usize = 64 * 1024;
-/// Longest wait for an answer to a revocation, when the deadline leaves more.
-const REVOKE_PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout for a revocation, unless the deadline is earlier.
+const REVOKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Times in a row that a sidecar may be out of reach before its attempt counts as unknown.
-/// Work that may be repeated is rather tried elsewhere at once.
-const MAX_UNREACHED: u32 = 3;
-/// Pause after a sidecar was out of reach.
-const UNREACHED_PAUSE: Duration = Duration::from_millis(100);
+/// Consecutive failures to reach a sidecar after which the outcome of its attempt is unknown.
+/// For repeatable work one failure is enough, since it can be retried elsewhere.
+const MAX_CONTACT_FAILURES: u32 = 3;
+/// Pause after a sidecar could not be reached.
+const CONTACT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What became of an attempt.
+/// Outcome of an attempt.
 #[derive(Debug)]
 pub enum AttemptOutcome {
-    /// The whole result is here.
+    /// The whole result was received.
     Complete(Bytes, Box<End>),
     /// It did not run and never will.
     NotRun(ResultCode, Option<u64>, Option<Box<Stamp>>),
     /// It ran and failed.
     Failed(Box<End>),
-    /// Whether it ran cannot be told from the sidecar.
+    /// The sidecar does not show whether it ran.
     Unknown,
-    /// The deadline came first.
+    /// The deadline passed first.
     TimedOut,
 }
 
-/// Where an attempt goes.
+/// Target sidecar and limits of an attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct Destination {
     /// Address of the sidecar.
     pub address: SocketAddr,
-    /// Attempt in question.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// Life of the sidecar that the attempt is meant for.
+    /// Incarnation of the sidecar that the attempt is meant for.
     pub incarnation: Incarnation,
     /// Expiry of the attempt on the sidecar's clock.
     pub expiry: SidecarClock,
     /// Whether the work may be repeated, and so cancelled.
     pub is_repeatable: bool,
-    /// When the request's answer is due.
-    pub due: Instant,
+    /// Deadline of the request.
+    pub deadline: Instant,
 }
 
-/// Runs attempts and takes their results in.
+/// Follows an attempt and receives its result.
 ///
-/// Takes each piece of a result to a function, once and in order, while it arrives.
+/// Passes each chunk of the result to a function, once and in order, as it arrives.
 pub struct AttemptRun<'a, F> {
-    parts: &'a EntryParts,
-    to: Destination,
-    receipt: Receipt,
+    context: &'a EntryContext,
+    destination: Destination,
+    received: ReceivedResult,
     on_data: F,
 }
 
-/// What has arrived of a result.
+/// The part of a result received so far.
 #[derive(Debug, Default)]
-struct Receipt {
+struct ReceivedResult {
     next_chunk: u64,
     hasher: Sha256,
     result: BytesMut,
 }
 
-/// Why the reading of frames stopped without an end.
-enum Broken {
-    Connection,
-    Deadline,
+/// Reason why reading stopped before the end frame.
+enum ReadFailure {
+    ConnectionLost,
+    DeadlinePassed,
 }
 
-/// What asking about an attempt on one connection brought.
-enum Asked {
+/// Result of querying an attempt on one connection.
+enum QueryResult {
     Ended(Box<End>),
     Revoked(Box<Stamp>),
-    CannotTell,
+    Indeterminate,
     TimedOut,
-    LostWhileFetching,
-    LostAtOnce,
+    LostDuringFetch,
+    NoReply,
 }
 
 impl<'a, F: FnMut(&[u8]) + Send> AttemptRun<'a, F> {
     /// Prepares an attempt.
-    pub fn new(parts: &'a EntryParts, to: Destination, on_data: F) -> Self {
+    pub fn new(context: &'a EntryContext, destination: Destination, on_data: F) -> Self {
         Self {
-            parts,
-            to,
-            receipt: Receipt::default(),
+            context,
+            destination,
+            received: ReceivedResult::default(),
             on_data,
         }
     }
 
-    /// Sends the attempt, once, and follows it to its end.
+    /// Sends the attempt once and follows it to its end.
     pub async fn dispatch(mut self, dispatch: &Dispatch) -> AttemptOutcome {
-        let connection = match self.parts.peers.connection(self.to.address).await {
+        let connection = match self
+            .context
+            .peers
+            .connection(self.destination.address)
+            .await
+        {
             Ok(connection) => connection,
             Err(error) => {
-                debug!("entry: {} was not sent: {error}", self.to.attempt);
+                debug!("entry: {} was not sent: {error}", self.destination.attempt);
                 return AttemptOutcome::NotRun(ResultCode::NoBackendServer, None, None);
             }
         };
         let number = connection.number();
-        self.parts.counters.count("attempt.dispatched");
+        self.context.counters.count("attempt.dispatched");
         let read = self
             .post_and_read(connection, "/attempt", wire::encode(dispatch))
             .await;
         self.conclude(read, number).await
     }
 
-    /// Follows an attempt that was sent before, perhaps by another entry.
+    /// Follows an attempt that was already sent, possibly by another entry.
     pub async fn follow(mut self) -> AttemptOutcome {
-        let Ok(connection) = self.parts.peers.connection(self.to.address).await else {
+        let Ok(connection) = self
+            .context
+            .peers
+            .connection(self.destination.address)
+            .await
+        else {
             return AttemptOutcome::Unknown;
         };
         let number = connection.number();
@@ -138,94 +148,105 @@
 
     async fn conclude(
         self,
-        read: Result<Box<End>, Broken>,
+        read: Result<Box<End>, ReadFailure>,
         number: ConnectionNumber,
     ) -> AttemptOutcome {
         match read {
-            // Guards against a dispatch that the network delivered twice: the second delivery is
-            // refused, but the first may run. Taken for a refusal it would show as "not run" of
-            // a call that ran; so the sidecar is asked what became of the attempt itself.
+            // If the network delivers a dispatch twice, the second delivery is refused while the
+            // first may run. Treated as a refusal, the caller would be told "not run" although the
+            // call ran, so the sidecar is asked for the outcome of the attempt.
             Ok(end) if end.outcome.code == ResultCode::DuplicateAttempt => {
-                self.parts.counters.count("attempt.doubled_delivery");
-                self.ask_again(number).await
+                self.context.counters.count("attempt.doubled_delivery");
+                self.query_after_loss(number).await
             }
             Ok(end) => self.into_outcome(end),
-            Err(Broken::Deadline) => {
-                give_up(self.parts, self.to);
+            Err(ReadFailure::DeadlinePassed) => {
+                spawn_cancel(self.context, self.destination);
                 AttemptOutcome::TimedOut
             }
-            Err(Broken::Connection) => {
-                self.parts.counters.count("attempt.connection_lost");
-                self.ask_again(number).await
+            Err(ReadFailure::ConnectionLost) => {
+                self.context.counters.count("attempt.connection_lost");
+                self.query_after_loss(number).await
             }
         }
     }
 
-    /// Asks on a new connection what became of an attempt whose connection was lost.
+    /// Queries, on a new connection, the outcome of an attempt whose connection was lost.
     ///
-    /// Guards against an answer lost between the two ends: a caller would see a failure though
-    /// the work is done, or, if the attempt were sent anew, pay for it twice. A connection may be
-    /// lost again while the sidecar is asked, so the question is repeated until the request is
-    /// due, or the sidecar cannot be reached several times in a row.
-    async fn ask_again(mut self, lost: ConnectionNumber) -> AttemptOutcome {
-        let (mut lost, mut unreached) = (lost, 0);
-        let max_unreached = if self.to.is_repeatable {
+    /// Without this, a caller would see a failure although the work was done, or would pay twice
+    /// for an attempt that was sent again. The new connection may be lost as well, so the query is
+    /// retried until the deadline, or until the sidecar is unreachable several times in a row.
+    async fn query_after_loss(mut self, lost: ConnectionNumber) -> AttemptOutcome {
+        let (mut lost, mut contact_failures) = (lost, 0);
+        let max_contact_failures = if self.destination.is_repeatable {
             1
         } else {
-            MAX_UNREACHED
+            MAX_CONTACT_FAILURES
         };
-        while unreached < max_unreached && Instant::now() < self.to.due {
-            let address = self.to.address;
-            let connection = self.parts.peers.connection_after(address, Some(lost)).await;
+        while contact_failures < max_contact_failures && Instant::now() < self.destination.deadline
+        {
+            let address = self.destination.address;
+            let connection = self
+                .context
+                .peers
+                .connection_after(address, Some(lost))
+                .await;
             let Ok(connection) = connection else {
-                unreached += 1;
-                sleep(UNREACHED_PAUSE).await;
+                contact_failures += 1;
+                sleep(CONTACT_RETRY_DELAY).await;
                 continue;
             };
             lost = connection.number();
-            match self.ask_on(connection).await {
-                Asked::Ended(end) => return self.into_outcome(end),
-                Asked::Revoked(stamp) => {
+            match self.query_on(connection).await {
+                QueryResult::Ended(end) => return self.into_outcome(end),
+                QueryResult::Revoked(stamp) => {
                     return AttemptOutcome::NotRun(ResultCode::AttemptRevoked, None, Some(stamp));
                 }
-                Asked::CannotTell => return AttemptOutcome::Unknown,
-                Asked::TimedOut => {
-                    give_up(self.parts, self.to);
+                QueryResult::Indeterminate => return AttemptOutcome::Unknown,
+                QueryResult::TimedOut => {
+                    spawn_cancel(self.context, self.destination);
                     return AttemptOutcome::TimedOut;
                 }
-                Asked::LostWhileFetching => unreached = 0,
-                Asked::LostAtOnce => unreached += 1,
+                QueryResult::LostDuringFetch => contact_failures = 0,
+                QueryResult::NoReply => contact_failures += 1,
             }
         }
         AttemptOutcome::Unknown
     }
 
-    async fn ask_on(&mut self, connection: PeerConnection) -> Asked {
-        let patience = self.to.due.min(Instant::now() + REVOKE_PATIENCE);
-        let asking = ask_revoke(self.parts, self.to, connection.clone(), false);
-        let reply = timeout_at(patience, asking).await.ok().flatten();
+    async fn query_on(&mut self, connection: PeerConnection) -> QueryResult {
+        let revoke_deadline = self
+            .destination
+            .deadline
+            .min(Instant::now() + REVOKE_TIMEOUT);
+        let sending = send_revoke(self.context, self.destination, connection.clone(), false);
+        let reply = timeout_at(revoke_deadline, sending).await.ok().flatten();
         match reply.map(|reply| (reply.answer, reply.stamp)) {
-            None => Asked::LostAtOnce,
+            None => QueryResult::NoReply,
             Some((RevokeAnswer::Forgotten | RevokeAnswer::OtherIncarnation, _)) => {
-                Asked::CannotTell
+                QueryResult::Indeterminate
             }
-            Some((RevokeAnswer::Revoked, stamp)) => Asked::Revoked(Box::new(stamp)),
+            Some((RevokeAnswer::Revoked, stamp)) => QueryResult::Revoked(Box::new(stamp)),
             Some((RevokeAnswer::Running | RevokeAnswer::Finished(_), _)) => {
                 match self.fetch(connection).await {
-                    Ok(end) => Asked::Ended(end),
-                    Err(Broken::Deadline) => Asked::TimedOut,
-                    Err(Broken::Connection) => Asked::LostWhileFetching,
+                    Ok(end) => QueryResult::Ended(end),
+                    Err(ReadFailure::DeadlinePassed) => QueryResult::TimedOut,
+                    Err(ReadFailure::ConnectionLost) => QueryResult::LostDuringFetch,
                 }
             }
         }
     }
 
-    async fn fetch(&mut self, connection: PeerConnection) -> Result<Box<End>, Broken> {
+    async fn fetch(&mut self, connection: PeerConnection) -> Result<Box<End>, ReadFailure> {
         let fetch = Fetch {
-            attempt: self.to.attempt,
-            incarnation: self.to.incarnation,
-            from_chunk: self.receipt.next_chunk,
-            budget: TimeBudget::new(self.to.due.saturating_duration_since(Instant::now())),
+            attempt: self.destination.attempt,
+            incarnation: self.destination.incarnation,
+            from_chunk: self.received.next_chunk,
+            budget: TimeBudget::new(
+                self.destination
+                    .deadline
+                    .saturating_duration_since(Instant::now()),
+            ),
         };
         self.post_and_read(connection, "/fetch", wire::encode(&fetch))
             .await
@@ -236,22 +257,22 @@
         connection: PeerConnection,
         path: &str,
         body: Vec<u8>,
-    ) -> Result<Box<End>, Broken> {
-        let due = self.to.due;
+    ) -> Result<Box<End>, ReadFailure> {
+        let deadline = self.destination.deadline;
         let kind = match path {
             "/fetch" => ControlKind::Fetch,
             _ => ControlKind::Attempt,
         };
-        self.parts.peers.count(kind, body.len(), 0);
-        let posted = timeout_at(due, connection.post(path, body)).await;
+        self.context.peers.count(kind, body.len(), 0);
+        let posted = timeout_at(deadline, connection.post(path, body)).await;
         let response = match posted {
-            Err(_elapsed) => return Err(Broken::Deadline),
-            Ok(Err(_lost)) => return Err(Broken::Connection),
+            Err(_elapsed) => return Err(ReadFailure::DeadlinePassed),
+            Ok(Err(_lost)) => return Err(ReadFailure::ConnectionLost),
             Ok(Ok(response)) => response,
         };
-        match timeout_at(due, self.read(response)).await {
-            Err(_elapsed) => Err(Broken::Deadline),
-            Ok(None) => Err(Broken::Connection),
+        match timeout_at(deadline, self.read(response)).await {
+            Err(_elapsed) => Err(ReadFailure::DeadlinePassed),
+            Ok(None) => Err(ReadFailure::ConnectionLost),
             Ok(Some(end)) => Ok(end),
         }
     }
@@ -260,42 +281,48 @@
         let mut frames = FrameReader::new(response.into_body());
         loop {
             match frames.next().await {
-                Ok(Frame::Chunk(chunk)) => self.take_chunk(&chunk)?,
-                Ok(Frame::End(end)) if end.attempt == self.to.attempt => {
+                Ok(Frame::Chunk(chunk)) => self.accept_chunk(&chunk)?,
+                Ok(Frame::End(end)) if end.attempt == self.destination.attempt => {
                     return Some(Box::new(end));
                 }
-                Ok(Frame::End(end)) => self.drop_foreign(end.attempt),
+                Ok(Frame::End(end)) => self.discard_foreign(end.attempt),
                 Err(error) => {
-                    debug!("entry: the answer to {} broke: {error}", self.to.attempt);
+                    debug!(
+                        "entry: reading the answer of {} failed: {error}",
+                        self.destination.attempt
+                    );
                     return None;
                 }
             }
         }
     }
 
-    /// Takes a piece that is next in order; a gap counts as a lost connection.
-    fn take_chunk(&mut self, chunk: &Chunk) -> Option<()> {
-        if chunk.attempt != self.to.attempt {
-            self.drop_foreign(chunk.attempt);
+    /// Accepts the next chunk in order; a gap is treated as a lost connection.
+    fn accept_chunk(&mut self, chunk: &Chunk) -> Option<()> {
+        if chunk.attempt != self.destination.attempt {
+            self.discard_foreign(chunk.attempt);
             return Some(());
         }
-        if chunk.sequence < self.receipt.next_chunk {
-            self.parts.counters.count("result.doubled_chunk");
+        if chunk.sequence < self.received.next_chunk {
+            self.context.counters.count("result.doubled_chunk");
             return Some(());
         }
-        if chunk.sequence > self.receipt.next_chunk {
-            self.parts.counters.count("result.missing_chunk");
+        if chunk.sequence > self.received.next_chunk {
+            self.context.counters.count("result.missing_chunk");
             return None;
         }
-        self.receipt.take(&chunk.data);
+        self.received.append(&chunk.data);
         (self.on_data)(&chunk.data);
         Some(())
     }
 
-    /// Guards against a result that belongs to another request: it is dropped, never passed on.
-    fn drop_foreign(&self, attempt: AttemptId) {
-        debug!("entry: a result of {attempt} came for {}", self.to.attempt);
-        self.parts.counters.count("result.foreign");
+    /// Drops a result that belongs to another request instead of passing it on.
+    fn discard_foreign(&self, attempt: AttemptId) {
+        debug!(
+            "entry: dropped a result of {attempt} received for {}",
+            self.destination.attempt
+        );
+        self.context.counters.count("result.foreign");
     }
 
     fn into_outcome(self, end: Box<End>) -> AttemptOutcome {
@@ -311,10 +338,10 @@
                 AttemptOutcome::Failed(end)
             }
             amaranthscale_core::Ran::Yes => {
-                if self.receipt.matches(outcome, end.chunks) {
-                    AttemptOutcome::Complete(self.receipt.result.freeze(), end)
+                if self.received.matches(outcome, end.chunks) {
+                    AttemptOutcome::Complete(self.received.result.freeze(), end)
                 } else {
-                    self.parts.counters.count("result.corrupt");
+                    self.context.counters.count("result.corrupt");
                     AttemptOutcome::Unknown
                 }
             }
@@ -322,8 +349,8 @@
     }
 }
 
-impl Receipt {
-    fn take(&mut self, data: &[u8]) {
+impl ReceivedResult {
+    fn append(&mut self, data: &[u8]) {
         self.next_chunk += 1;
         self.hasher.update(data);
         self.result.extend_from_slice(data);
@@ -337,43 +364,39 @@
     }
 }
 
-/// Lets the sidecar end repeatable work that nobody waits for.
-pub fn give_up(parts: &EntryParts, to: Destination) {
-    if !to.is_repeatable {
+/// Asks the sidecar to cancel repeatable work that is no longer needed.
+pub fn spawn_cancel(context: &EntryContext, destination: Destination) {
+    if !destination.is_repeatable {
         return;
     }
-    let parts = parts.clone();
+    let context = context.clone();
     tokio::spawn(async move {
-        let asking = async {
-            let connection = parts.peers.connection(to.address).await.ok()?;
-            ask_revoke(&parts, to, connection, true).await
+        let sending = async {
+            let connection = context.peers.connection(destination.address).await.ok()?;
+            send_revoke(&context, destination, connection, true).await
         };
-        let _ = tokio::time::timeout(REVOKE_PATIENCE, asking).await;
+        let _ = tokio::time::timeout(REVOKE_TIMEOUT, sending).await;
     });
 }
 
-async fn ask_revoke(
-    parts: &EntryParts,
-    to: Destination,
+async fn send_revoke(
+    context: &EntryContext,
+    destination: Destination,
     connection: PeerConnection,
     cancel_running: bool,
 ) -> Option<RevokeReply> {
     let revoke = Revoke {
-        attempt: to.attempt,
-        incarnation: to.incarnation,
-        expiry: to.expiry,
+        attempt: destination.attempt,
+        incarnation: destination.incarnation,
+        expiry: destination.expiry,
         cancel_running,
     };
     let message = wire::encode(&revoke);
     let sent_bytes = message.len();
     let response = connection.post("/revoke", message).await.ok()?;
-    let body = read_body(
-        response.into_body(),
-        MAX_REVOKE_REPLY_BYTES,
-        REVOKE_PATIENCE,
-    );
+    let body = read_body(response.into_body(), MAX_REVOKE_REPLY_BYTES, REVOKE_TIMEOUT);
     let body = body.await.ok()?;
-    parts
+    context
         .peers
         .count(ControlKind::Revoke, sent_bytes, body.len());
     wire::decode(body).ok()
--- a/crates/amaranthscale/src/entry/request/caller_request.rs
+++ b/crates/amaranthscale/src/entry/request/caller_request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, as read from HTTP and checked against the settings tree.
+//! A caller's request, parsed from HTTP and validated against the settings tree.
 
 use std::time::Duration;
 
@@ -15,13 +15,13 @@
 
 /// Header with the caller's deadline.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// Header with the caller's own key of a call that may not be repeated.
+/// Header with the caller's idempotency key, required for calls that may not be repeated.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
 const PIPELINES: &str = "/v1/pipelines/";
 const SERVICES: &str = "/v1/services/";
 
-/// What a request asks for.
+/// Target of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Target {
     /// All stages of a pipeline.
@@ -30,38 +30,38 @@
     Service(ServiceId),
 }
 
-/// A request that may be admitted.
+/// A validated request.
 #[derive(Debug, Clone)]
 pub struct CallerRequest {
-    /// Organisation that asks.
+    /// Organisation that sent the request.
     pub organisation: OrganisationId,
     /// Class of that organisation.
     pub class: Class,
-    /// Share of that organisation.
+    /// Weight of that organisation in fair queues.
     pub weight: Weight,
-    /// Limit of that organisation over all entries.
+    /// Rate limit of that organisation over all entries.
     pub limit_per_second: RatePerSecond,
-    /// Most requests of that organisation at once.
+    /// Maximum number of open requests of that organisation.
     pub max_in_flight: u32,
-    /// What is asked for.
+    /// Requested pipeline or service.
     pub target: Target,
     /// Stages to run, in order; a plain service is one stage.
     pub stages: Vec<Stage>,
-    /// Key of a call that may not be repeated.
+    /// Idempotency key, if the caller sent one.
     pub key: Option<IdempotencyKey>,
-    /// Digest of path and body, for a key that comes again.
+    /// Digest of path and body, to detect a key reused for another call.
     pub fingerprint: CallFingerprint,
-    /// Time until the answer is due.
+    /// Time until the deadline.
     pub budget: TimeBudget,
-    /// Whether the caller wants tokens as they come.
+    /// Whether the caller wants tokens streamed.
     pub wants_stream: bool,
-    /// Hash of the prompt's prefix, to find the engine that has it cached.
+    /// Hash of the prompt's prefix, to prefer an engine that has it cached.
     pub affinity: Option<u64>,
     /// Body as the caller sent it.
     pub body: Bytes,
 }
 
-/// Head of a caller's request, checked before its body is read.
+/// Head of a caller's request, validated before its body is read.
 #[derive(Debug, Clone)]
 pub struct CallerHead {
     organisation: OrganisationId,
@@ -74,7 +74,7 @@
     path: String,
 }
 
-/// Bounds on a caller's deadline.
+/// Limits on callers' deadlines.
 #[derive(Debug, Clone, Copy)]
 pub struct DeadlineLimits {
     /// Longest deadline that a caller may ask for.
@@ -82,7 +82,7 @@
 }
 
 impl CallerHead {
-    /// Checks method, path, key and deadline against a tree.
+    /// Parses a request's head and validates it against a settings tree.
     pub fn read(
         method: &Method,
         uri: &Uri,
@@ -115,7 +115,7 @@
         })
     }
 
-    /// Joins the head with a body that must be JSON.
+    /// Adds the body, which must be JSON or empty.
     pub fn with_body(self, body: Bytes) -> Result<CallerRequest, ResultCode> {
         let body = if body.is_empty() {
             Bytes::from_static(b"null")
@@ -143,7 +143,7 @@
     }
 }
 
-/// Fields of a caller's body that guide decisions.
+/// Fields of a caller's body that are used for routing.
 #[derive(Debug, Deserialize)]
 struct Hints {
     prefix: Option<String>,
@@ -200,7 +200,7 @@
     Ok((Target::Service(id), vec![stage], deadline))
 }
 
-/// A plain service is served as one stage that has the service's own name.
+/// The single stage of a plain service, named after the service.
 fn service_stage(id: &ServiceId, service: &Service, call: &str) -> Result<Stage, ResultCode> {
     let path = format!("/{call}");
     let name = id
@@ -254,7 +254,7 @@
     accept.is_some_and(|accept| accept.contains("text/event-stream"))
 }
 
-/// The same prefix gives the same hash on every entry, so that all of them find the same engines.
+/// Hashes a prefix identically on every entry, so that all of them prefer the same engines.
 fn prefix_hash(prefix: &str) -> u64 {
     use sha2::{Digest as _, Sha256};
 
--- a/crates/amaranthscale/src/entry/request/claim_check.rs
+++ b/crates/amaranthscale/src/entry/request/claim_check.rs
@@ -1,4 +1,4 @@
-//! What an entry may do about a call that may not be repeated.
+//! Claims of calls that may not be repeated, as an entry reads and cancels them.
 
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::id::{AttemptId, HostId, Incarnation, RowVersion};
@@ -11,17 +11,17 @@
 use tokio::time::Instant;
 
 use super::Answer;
-use crate::entry::process::EntryParts;
+use crate::entry::process::EntryContext;
 use crate::process::{TableWrite, new_write_id};
 
-/// What comes next for a call that may not be repeated.
+/// Next action for a call that may not be repeated.
 #[derive(Debug)]
-pub enum ClaimNext {
-    /// Nobody has made the call: send an attempt with this ticket.
+pub enum ClaimAction {
+    /// The call was not made: send an attempt with this ticket.
     Dispatch(ClaimTicket),
-    /// The call is at a sidecar: ask it for the answer.
+    /// A sidecar has claimed the call: fetch the answer from it.
     Follow(ClaimHolder),
-    /// The call is over: this is its answer.
+    /// The call has ended with this answer.
     Final(Answer),
 }
 
@@ -30,43 +30,44 @@
 pub struct ClaimHolder {
     /// Host of the sidecar.
     pub host: HostId,
-    /// Life of the sidecar.
+    /// Incarnation of the sidecar.
     pub incarnation: Incarnation,
     /// Attempt that holds the claim.
     pub attempt: AttemptId,
 }
 
-/// Reads the claim row of a call and says what comes next.
+/// Reads the claim row of a call and returns the next action.
 ///
-/// If the table cannot be read, the call is refused: nothing has been sent yet.
+/// If the table cannot be read, the call is refused, since nothing has been sent yet.
 pub async fn check_claim(
-    parts: &EntryParts,
+    context: &EntryContext,
     key: &ClaimKey,
     fingerprint: CallFingerprint,
-) -> ClaimNext {
-    match parts.platform.row(&key.to_string()).await {
+) -> ClaimAction {
+    match context.platform.row(&key.to_string()).await {
         Ok(row) => {
-            parts.counters.count("claim.read");
-            next_for(parts, key, fingerprint, &row).await
+            context.counters.count("claim.read");
+            action_for(context, key, fingerprint, &row).await
         }
         Err(error) => {
             warn!("entry: claim {key} cannot be read: {error}");
-            ClaimNext::Final(Answer::of_code(ResultCode::TableAway))
+            ClaimAction::Final(Answer::from_code(ResultCode::TableAway))
         }
     }
 }
 
-/// Settles a call whose attempt cannot be reached any more.
+/// Settles a call whose attempt can no longer be reached.
 ///
-/// Guards against saying "not run" of an attempt that wakes later and claims: the version that it
-/// carries is cancelled first. If the cancel loses, the row says who made the call.
+/// The row version that the attempt carries is cancelled first, so that an attempt that is delayed
+/// cannot claim the call after "not run" was reported. If the cancellation loses the race, the row
+/// shows which attempt has the claim.
 pub async fn cancel_claim(
-    parts: &EntryParts,
+    context: &EntryContext,
     ticket: &ClaimTicket,
     attempt: AttemptId,
     by: &HostId,
     until: Instant,
-) -> ClaimNext {
+) -> ClaimAction {
     let ClaimTicket {
         key,
         version,
@@ -74,80 +75,84 @@
     } = ticket;
     let write = cancel_write(key, *version, *fingerprint, by.clone(), new_write_id());
     match TableWrite::new(write)
-        .settle_until(&parts.platform, until)
+        .settle_until(&context.platform, until)
         .await
     {
         Some(WriteStep::Won { row }) => {
-            parts.counters.count("claim.cancelled");
-            ClaimNext::Dispatch(ticket_at(key, row.version, *fingerprint))
+            context.counters.count("claim.cancelled");
+            ClaimAction::Dispatch(ticket_at(key, row.version, *fingerprint))
         }
         Some(
             WriteStep::Superseded { row }
             | WriteStep::LostTo { row }
             | WriteStep::Undecided { row },
         ) => {
-            parts.counters.count("claim.cancel_lost");
-            after_lost_cancel(parts, ticket, attempt, &row).await
+            context.counters.count("claim.cancel_lost");
+            after_lost_cancel(context, ticket, attempt, &row).await
         }
         None | Some(WriteStep::Send | WriteStep::ReadBack) => {
-            parts.counters.count("claim.cancel_unsettled");
-            ClaimNext::Final(Answer::of_code(ResultCode::OutcomeUnknown))
+            context.counters.count("claim.cancel_unsettled");
+            ClaimAction::Final(Answer::from_code(ResultCode::OutcomeUnknown))
         }
     }
 }
 
 async fn after_lost_cancel(
-    parts: &EntryParts,
+    context: &EntryContext,
     ticket: &ClaimTicket,
     attempt: AttemptId,
     row: &Row,
-) -> ClaimNext {
+) -> ClaimAction {
     match attempt_status(row, attempt, ticket.version) {
-        AttemptStatus::MayStart => ClaimNext::Final(Answer::of_code(ResultCode::OutcomeUnknown)),
+        AttemptStatus::MayStart => {
+            ClaimAction::Final(Answer::from_code(ResultCode::OutcomeUnknown))
+        }
         AttemptStatus::Claimed | AttemptStatus::NeverRan | AttemptStatus::Closed => {
-            next_for(parts, &ticket.key, ticket.fingerprint, row).await
+            action_for(context, &ticket.key, ticket.fingerprint, row).await
         }
     }
 }
 
-async fn next_for(
-    parts: &EntryParts,
+async fn action_for(
+    context: &EntryContext,
     key: &ClaimKey,
     fingerprint: CallFingerprint,
     row: &Row,
-) -> ClaimNext {
+) -> ClaimAction {
     match read_claim(row, &fingerprint) {
-        ClaimStatus::Free { version } => ClaimNext::Dispatch(ticket_at(key, version, fingerprint)),
+        ClaimStatus::Free { version } => {
+            ClaimAction::Dispatch(ticket_at(key, version, fingerprint))
+        }
         ClaimStatus::Started {
             host,
             incarnation,
             attempt,
             ..
-        } => ClaimNext::Follow(ClaimHolder {
+        } => ClaimAction::Follow(ClaimHolder {
             host,
             incarnation,
             attempt,
         }),
         ClaimStatus::Finished { outcome, result } => {
-            parts.counters.count("claim.replayed");
-            ClaimNext::Final(replay(parts, outcome, result).await)
+            context.counters.count("claim.replayed");
+            ClaimAction::Final(replay(context, outcome, result).await)
         }
         ClaimStatus::Unknown | ClaimStatus::Corrupt => {
-            ClaimNext::Final(Answer::of_code(ResultCode::OutcomeUnknown))
+            ClaimAction::Final(Answer::from_code(ResultCode::OutcomeUnknown))
         }
-        ClaimStatus::KeyReused => ClaimNext::Final(Answer::of_code(ResultCode::KeyReused)),
+        ClaimStatus::KeyReused => ClaimAction::Final(Answer::from_code(ResultCode::KeyReused)),
     }
 }
 
-/// The answer of a call that was made before, under the same key.
-async fn replay(parts: &EntryParts, outcome: Outcome, result: StoredResult) -> Answer {
+/// The stored answer of an earlier call with the same key.
+async fn replay(context: &EntryContext, outcome: Outcome, result: StoredResult) -> Answer {
     let result = match result {
         StoredResult::Inline(bytes) => bytes.into(),
-        StoredResult::Object(key) => match parts.platform.object(&key).await {
+        StoredResult::Object(key) => match context.platform.object(&key).await {
             Ok(bytes) => bytes,
             Err(error) => {
-                warn!("entry: the kept result {key} cannot be read: {error}");
-                return Answer::of_code(ResultCode::StillRunning);
+                warn!("entry: stored result {key} cannot be read: {error}");
+                return Answer::from_code(ResultCode::StillRunning);
             }
         },
     };
--- a/crates/amaranthscale/src/entry/request/hedged_attempt.rs
+++ b/crates/amaranthscale/src/entry/request/hedged_attempt.rs
@@ -1,9 +1,9 @@
-//! A second attempt beside a slow first one.
+//! Hedging: a second attempt in parallel with a slow first one.
 //!
-//! A straggler holds up a request whose work another backend server would do at once. After the
-//! usual time of nearly all attempts, a second one goes to another host, and the first complete
-//! result is the stage's. Only for work that may be repeated and whose result comes whole: two
-//! attempts are two calls, and their tokens would mix.
+//! A slow backend server delays a request that another one could serve at once. When an attempt
+//! takes longer than nearly all others, a second one is sent to another host, and the first
+//! complete result is used. Only repeatable stages that do not stream are hedged: two attempts are
+//! two calls, and their tokens would be mixed.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -13,72 +13,73 @@
 use amaranthscale_core::wire::StageCost;
 use tokio::time::sleep;
 
-use super::attempt_watch::AttemptWatch;
+use super::attempt_guard::AttemptGuard;
 use super::sent_attempt::{EndedAttempt, SentAttempt};
-use super::sidecar_hello::known_sidecar;
+use super::sidecar_hello::observed_sidecar;
 use super::stage_task::StageTask;
-use crate::entry::process::{AttemptKind, EntryParts, Route};
+use crate::entry::process::{AttemptKind, EntryContext, Route};
 
-/// An attempt under way.
+/// A running attempt.
 type Running<'a> = Pin<Box<dyn Future<Output = EndedAttempt> + Send + 'a>>;
-/// An attempt under way; none if it could not be sent.
+/// A running attempt; `None` if it could not be sent.
 type MaybeRunning<'a> = Pin<Box<dyn Future<Output = Option<EndedAttempt>> + Send + 'a>>;
 
-/// Runs an attempt, with a second one beside it once it takes long.
+/// Runs an attempt, and a second one in parallel once the first is slow.
 #[derive(Debug)]
 pub struct HedgedAttempt<'a> {
-    parts: &'a EntryParts,
+    context: &'a EntryContext,
     task: &'a StageTask<'a>,
     number: AttemptNumber,
     tried: Vec<HostId>,
 }
 
-/// How the two attempts ended; there may have been only one.
+/// Outcome of one or two parallel attempts.
 #[derive(Debug)]
-pub struct HedgedEnd {
-    /// The attempt that counts.
+pub struct HedgedOutcome {
+    /// The attempt whose outcome is used.
     pub ended: EndedAttempt,
     /// Host of the second attempt, if one was chosen.
     pub hedge_host: Option<HostId>,
-    /// Whether the attempt that does not count failed and may have run.
+    /// Whether the other attempt failed and may have run.
     pub has_other_run: bool,
 }
 
 impl<'a> HedgedAttempt<'a> {
-    /// Prepares a second attempt of this number, outside the hosts that were tried.
+    /// Prepares a second attempt with this number, at a host that was not tried.
     #[must_use]
     pub const fn new(
-        parts: &'a EntryParts,
+        context: &'a EntryContext,
         task: &'a StageTask<'a>,
         number: AttemptNumber,
         tried: Vec<HostId>,
     ) -> Self {
         Self {
-            parts,
+            context,
             task,
             number,
             tried,
         }
     }
 
-    /// Runs the first attempt, and the second one beside it after a delay.
-    pub async fn run(self, first: SentAttempt<'a>, delay: Duration) -> HedgedEnd {
+    /// Runs the first attempt, and after a delay the second one in parallel.
+    pub async fn run(self, first: SentAttempt<'a>, delay: Duration) -> HedgedOutcome {
         let mut first: Running<'_> = Box::pin(first.run(|_data: &[u8]| {}));
         tokio::select! {
-            ended = &mut first => return HedgedEnd::alone(ended),
+            ended = &mut first => return HedgedOutcome::without_hedge(ended),
             () = sleep(delay) => {}
         }
-        // Asked beside nothing else: dropped half-way, the question would leave its host counted as
-        // in flight for good. The answer comes from this very process.
+        // Awaited outside of `select!`: dropped half-way, the query would leave an attempt counted
+        // as in flight at its host forever. The reply comes from this process, so the wait is
+        // short.
         let Some(route) = self.route().await else {
-            return HedgedEnd::alone(first.await);
+            return HedgedOutcome::without_hedge(first.await);
         };
         let hedge_host = route.host.clone();
         let (ended, has_other_run) = race(first, Box::pin(self.send(route))).await;
         if ended.is_complete() && ended.host == hedge_host {
-            self.parts.counters.count("hedge.won");
+            self.context.counters.count("hedge.won");
         }
-        HedgedEnd {
+        HedgedOutcome {
             ended,
             hedge_host: Some(hedge_host),
             has_other_run,
@@ -87,32 +88,32 @@
 
     async fn route(&self) -> Option<Route> {
         let tried = self.tried.clone();
-        let question = self.task.route_question(tried, AttemptKind::Hedge);
-        let refusal = match self.parts.decisions.route(question).await {
+        let query = self.task.route_query(tried, AttemptKind::Hedge);
+        let refusal = match self.context.decisions.route(query).await {
             Ok(route) => return Some(route),
             Err(refusal) => refusal,
         };
-        let counters = &self.parts.counters;
+        let counters = &self.context.counters;
         counters.count_reason("hedge.refused", refusal.code.name());
         None
     }
 
     async fn send(&self, mut route: Route) -> Option<EndedAttempt> {
-        let mut watch = AttemptWatch::new(self.parts, self.task, &mut route);
-        let Some(known) = known_sidecar(self.parts, self.task, &route).await else {
-            watch.ended(AttemptEnd::TimedOut, None, StageCost::default());
+        let mut guard = AttemptGuard::new(self.context, self.task, &mut route);
+        let Some(observed) = observed_sidecar(self.context, self.task, &route).await else {
+            guard.report_end(AttemptEnd::TimedOut, None, StageCost::default());
             return None;
         };
         let task = self.task;
-        let dispatch = task.dispatch(self.parts, self.number, known, route.stage_due);
-        self.parts.counters.count("hedge.sent");
-        let sent = SentAttempt::new(self.parts, task, &route, dispatch, watch);
+        let dispatch = task.dispatch(self.context, self.number, observed, route.stage_deadline);
+        self.context.counters.count("hedge.sent");
+        let sent = SentAttempt::new(self.context, task, &route, dispatch, guard);
         Some(sent.run(|_data: &[u8]| {}).await)
     }
 }
 
-impl HedgedEnd {
-    const fn alone(ended: EndedAttempt) -> Self {
+impl HedgedOutcome {
+    const fn without_hedge(ended: EndedAttempt) -> Self {
         Self {
             ended,
             hedge_host: None,
@@ -121,7 +122,7 @@
     }
 }
 
-/// The attempt of two that counts, and whether the other one failed and may have run.
+/// The attempt of two that is used, and whether the other one failed and may have run.
 async fn race(mut first: Running<'_>, mut hedge: MaybeRunning<'_>) -> (EndedAttempt, bool) {
     tokio::select! {
         ended = &mut first => first_complete(ended, hedge).await,
@@ -132,10 +133,10 @@
     }
 }
 
-/// The earlier end if it is complete, or else the later one.
+/// The attempt that ended first if it is complete, or else the other one.
 ///
-/// Guards against a straggler that goes on for nobody: the loser is dropped with its watch, which
-/// reports it as cancelled and has its sidecar cancel the running work.
+/// The slower attempt is dropped with its guard, which reports it as cancelled and asks its sidecar
+/// to cancel the work.
 async fn first_complete(
     mut early: EndedAttempt,
     other: impl Future<Output = Option<EndedAttempt>>,
--- a/crates/amaranthscale/src/entry/request/run.rs
+++ b/crates/amaranthscale/src/entry/request/request_run.rs
@@ -1,4 +1,4 @@
-//! One request, from admission to its one final answer.
+//! One request, from admission to its final answer.
 
 use amaranthscale_core::id::{HostId, RequestId, StageIndex};
 use amaranthscale_core::{Ran, ResultCode};
@@ -10,69 +10,69 @@
 use super::stage_run::StageRun;
 use super::stage_task::StageTask;
 use super::{Answer, CallerRequest, Target, TokenText, stage_input};
-use crate::entry::process::{AdmissionQuestion, Decision, EntryParts};
+use crate::entry::process::{AdmissionQuery, DecisionsMessage, EntryContext};
 
-/// A request on its way through its stages.
+/// Runs the stages of a request.
 #[derive(Debug)]
-pub struct Run<'a> {
-    parts: &'a EntryParts,
+pub struct RequestRun<'a> {
+    context: &'a EntryContext,
     entry: &'a HostId,
     id: RequestId,
     request: &'a CallerRequest,
-    due: Instant,
+    deadline: Instant,
     tokens: Option<&'a UnboundedSender<TokenText>>,
 }
 
-impl<'a> Run<'a> {
-    /// Prepares a request that arrived at an instant.
+impl<'a> RequestRun<'a> {
+    /// Prepares the run of a request that arrived at this instant.
     #[must_use]
     pub fn new(
-        parts: &'a EntryParts,
+        context: &'a EntryContext,
         entry: &'a HostId,
         id: RequestId,
         request: &'a CallerRequest,
         arrived: Instant,
     ) -> Self {
-        let due = arrived + request.budget.duration();
+        let deadline = arrived + request.budget.duration();
         Self {
-            parts,
+            context,
             entry,
             id,
             request,
-            due,
+            deadline,
             tokens: None,
         }
     }
 
-    /// Sends tokens of the last stage as they come.
+    /// Sends the tokens of the last stage to a channel as they arrive.
     #[must_use]
     pub const fn streaming_to(mut self, tokens: &'a UnboundedSender<TokenText>) -> Self {
         self.tokens = Some(tokens);
         self
     }
 
-    /// Admits the request, runs its stages in order and gives the final answer.
+    /// Admits the request, runs its stages in order and returns the final answer.
     pub async fn to_answer(self) -> Answer {
-        let question = self.admission_question();
-        let mut admitted = match self.parts.decisions.admit(question).await {
+        let query = self.admission_query();
+        let mut admitted = match self.context.decisions.admit(query).await {
             Ok(admitted) => admitted,
             Err(refusal) => {
-                let counters = &self.parts.counters;
+                let counters = &self.context.counters;
                 counters.count_reason("admission.refused", refusal.code.name());
                 return refusal.into();
             }
         };
-        let mut watch = RequestWatch::new(self.parts, self.request);
-        admitted.keep();
+        let mut guard = RequestGuard::new(self.context, self.request);
+        admitted.commit();
         let answer = self.stages().await;
-        debug!("entry: {} ends with {}", self.id, answer.code);
-        watch.ended(answer.code);
+        debug!("entry: {} ended with {}", self.id, answer.code);
+        guard.report_end(answer.code);
         answer
     }
 
     async fn stages(&self) -> Answer {
         let mut previous: Option<Bytes> = None;
-        let mut last = Answer::of_code(ResultCode::UnknownPipeline);
+        let mut last = Answer::from_code(ResultCode::UnknownPipeline);
         for (position, stage) in self.request.stages.iter().enumerate() {
             let index = u8::try_from(position).unwrap_or(u8::MAX);
             let is_last = position + 1 == self.request.stages.len();
@@ -81,13 +81,13 @@
                 request_id: self.id,
                 index: StageIndex::new(index),
                 stage,
-                later: &self.request.stages[position + 1..],
+                later_stages: &self.request.stages[position + 1..],
                 input: self.input(previous.as_ref()),
-                due: self.due,
+                deadline: self.deadline,
                 entry: self.entry,
                 tokens: self.tokens.filter(|_| is_last),
             };
-            last = Box::pin(StageRun::new(self.parts, task).run()).await;
+            last = Box::pin(StageRun::new(self.context, task).run()).await;
             if last.code != ResultCode::Complete {
                 return after_earlier_stages(last, position);
             }
@@ -103,9 +103,9 @@
         }
     }
 
-    fn admission_question(&self) -> AdmissionQuestion {
+    fn admission_query(&self) -> AdmissionQuery {
         let request = self.request;
-        AdmissionQuestion {
+        AdmissionQuery {
             organisation: request.organisation.clone(),
             class: request.class,
             limit_per_second: request.limit_per_second,
@@ -120,7 +120,7 @@
     }
 }
 
-/// Guards against saying "not run" of a request whose earlier stages ran.
+/// Replaces a code that means "not run" if earlier stages of the request ran.
 fn after_earlier_stages(answer: Answer, stages_done: usize) -> Answer {
     if stages_done > 0 && answer.code.ran() == Ran::No {
         return Answer {
@@ -131,37 +131,37 @@
     answer
 }
 
-/// Reports the end of a request, also when its caller went away.
+/// Reports the end of a request, also when its caller has disconnected.
 #[derive(Debug)]
-struct RequestWatch<'a> {
-    parts: &'a EntryParts,
+struct RequestGuard<'a> {
+    context: &'a EntryContext,
     request: &'a CallerRequest,
     is_ended: bool,
 }
 
-impl<'a> RequestWatch<'a> {
-    const fn new(parts: &'a EntryParts, request: &'a CallerRequest) -> Self {
+impl<'a> RequestGuard<'a> {
+    const fn new(context: &'a EntryContext, request: &'a CallerRequest) -> Self {
         Self {
-            parts,
+            context,
             request,
             is_ended: false,
         }
     }
 
-    fn ended(&mut self, code: ResultCode) {
+    fn report_end(&mut self, code: ResultCode) {
         if self.is_ended {
             return;
         }
         self.is_ended = true;
-        self.parts.counters.count_reason("answer", code.name());
+        self.context.counters.count_reason("answer", code.name());
         let organisation = self.request.organisation.clone();
-        let ended = Decision::RequestEnded(organisation, self.request.class, code);
-        self.parts.decisions.tell(ended);
+        let ended = DecisionsMessage::RequestEnded(organisation, self.request.class, code);
+        self.context.decisions.send(ended);
     }
 }
 
-impl Drop for RequestWatch<'_> {
+impl Drop for RequestGuard<'_> {
     fn drop(&mut self) {
-        self.ended(ResultCode::Cancelled);
+        self.report_end(ResultCode::Cancelled);
     }
 }
--- a/crates/amaranthscale/src/entry/request/sent_attempt.rs
+++ b/crates/amaranthscale/src/entry/request/sent_attempt.rs
@@ -1,47 +1,47 @@
-//! One attempt on its way to a sidecar, and how it ended.
+//! An attempt at a sidecar, and the same attempt after it has ended.
 
 use amaranthscale_core::id::HostId;
 use amaranthscale_core::process::AttemptEnd;
 use amaranthscale_core::wire::{Dispatch, StageCost, Stamp};
 
+use super::attempt_guard::AttemptGuard;
 use super::attempt_run::{AttemptOutcome, AttemptRun, Destination};
-use super::attempt_watch::AttemptWatch;
 use super::stage_task::StageTask;
-use crate::entry::process::{EntryParts, Route};
+use crate::entry::process::{EntryContext, Route};
 
-/// An attempt on its way to a sidecar.
+/// An attempt at a sidecar.
 ///
-/// Dropped before its end, it is reported as cancelled, and its sidecar is told so.
+/// Dropped before its end, it is reported as cancelled, and its sidecar is asked to cancel it.
 #[derive(Debug)]
 pub struct SentAttempt<'a> {
-    parts: &'a EntryParts,
+    context: &'a EntryContext,
     host: HostId,
     destination: Destination,
     dispatch: Dispatch,
-    watch: AttemptWatch,
+    guard: AttemptGuard,
 }
 
-/// An attempt that has ended, and is not yet reported.
+/// An attempt that has ended and is not yet reported.
 #[derive(Debug)]
 pub struct EndedAttempt {
     /// Host of the sidecar.
     pub host: HostId,
-    /// Where the attempt went.
+    /// Target of the attempt.
     pub destination: Destination,
-    /// What became of it.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
-    watch: AttemptWatch,
+    guard: AttemptGuard,
 }
 
 impl<'a> SentAttempt<'a> {
-    /// Prepares an attempt that will be sent next.
+    /// Prepares an attempt that is about to be sent.
     #[must_use]
     pub fn new(
-        parts: &'a EntryParts,
+        context: &'a EntryContext,
         task: &StageTask<'_>,
         route: &Route,
         dispatch: Dispatch,
-        mut watch: AttemptWatch,
+        mut guard: AttemptGuard,
     ) -> Self {
         let destination = Destination {
             address: route.address,
@@ -49,54 +49,54 @@
             incarnation: dispatch.incarnation,
             expiry: dispatch.expiry,
             is_repeatable: task.stage.is_repeatable,
-            due: task.due,
+            deadline: task.deadline,
         };
-        watch.sent(destination);
+        guard.mark_sent(destination);
         Self {
-            parts,
+            context,
             host: route.host.clone(),
             destination,
             dispatch,
-            watch,
+            guard,
         }
     }
 
-    /// Sends the attempt, once, and follows it to its end.
+    /// Sends the attempt once and follows it to its end.
     pub async fn run(self, on_data: impl FnMut(&[u8]) + Send) -> EndedAttempt {
-        let run = AttemptRun::new(self.parts, self.destination, on_data);
+        let run = AttemptRun::new(self.context, self.destination, on_data);
         let outcome = run.dispatch(&self.dispatch).await;
         EndedAttempt {
             host: self.host,
             destination: self.destination,
             outcome,
-            watch: self.watch,
+            guard: self.guard,
         }
     }
 }
 
 impl EndedAttempt {
-    /// Whether the whole result is here.
+    /// Whether the whole result was received.
     #[must_use]
     pub const fn is_complete(&self) -> bool {
         matches!(self.outcome, AttemptOutcome::Complete(..))
     }
 
-    /// Whether it may have run.
+    /// Whether the attempt may have run.
     #[must_use]
     pub const fn may_have_run(&self) -> bool {
         !matches!(self.outcome, AttemptOutcome::NotRun(..))
     }
 
-    /// Reports how it ended.
+    /// Reports the end.
     pub fn report(&mut self) {
         let (end, stamp, cost) = self.reported();
-        self.watch.ended(end, stamp, cost);
+        self.guard.report_end(end, stamp, cost);
     }
 
-    /// Reports a result that came whole and cannot be used.
+    /// Reports a complete result that cannot be used.
     pub fn report_unusable(&mut self) {
         let (_end, stamp, cost) = self.reported();
-        self.watch.ended(AttemptEnd::Failed, stamp, cost);
+        self.guard.report_end(AttemptEnd::Failed, stamp, cost);
     }
 
     fn reported(&self) -> (AttemptEnd, Option<Stamp>, StageCost) {
--- a/crates/amaranthscale/src/entry/request/sidecar_hello.rs
+++ b/crates/amaranthscale/src/entry/request/sidecar_hello.rs
@@ -1,4 +1,4 @@
-//! Asks a sidecar which life it is in.
+//! Asks a sidecar for its incarnation and clock.
 
 use std::net::SocketAddr;
 
@@ -9,58 +9,61 @@
 
 use super::stage_task::StageTask;
 use crate::connection::read_body;
-use crate::entry::process::{Decision, EntryParts, KnownSidecar, Route};
+use crate::entry::process::{DecisionsMessage, EntryContext, ObservedSidecar, Route};
 use crate::process::ControlKind;
 
-/// Longest stamp that a sidecar answers with.
+/// Maximum size of a sidecar's stamp.
 const MAX_STAMP_BYTES: usize = 16 * 1024;
 
-/// The sidecar's present life, asked for if this entry has not heard of it yet.
-pub async fn known_sidecar(
-    parts: &EntryParts,
+/// The incarnation and clock of a sidecar; sends a hello if this entry has not observed them yet.
+pub async fn observed_sidecar(
+    context: &EntryContext,
     task: &StageTask<'_>,
     route: &Route,
-) -> Option<KnownSidecar> {
-    if let Some(known) = route.known {
-        return Some(known);
+) -> Option<ObservedSidecar> {
+    if let Some(observed) = route.observed {
+        return Some(observed);
     }
     let hello = Hello {
         from: task.entry.clone(),
-        tree_version: parts.tree.borrow().version(),
+        tree_version: context.tree.borrow().version(),
     };
     let message = wire::encode(&hello);
     let sent_bytes = message.len();
-    let asking = ask_hello(parts, route.address, message);
-    let response = timeout_at(task.due, asking).await.ok()??;
-    let left = task.due.saturating_duration_since(Instant::now());
+    let sending = send_hello(context, route.address, message);
+    let response = timeout_at(task.deadline, sending).await.ok()??;
+    let left = task.deadline.saturating_duration_since(Instant::now());
     let body = read_body(response.into_body(), MAX_STAMP_BYTES, left)
         .await
         .ok()?;
-    let peers = &parts.peers;
+    let peers = &context.peers;
     peers.count(ControlKind::Hello, sent_bytes, body.len());
     let stamp: Stamp = wire::decode(body).ok()?;
-    let known = KnownSidecar {
+    let observed = ObservedSidecar {
         incarnation: stamp.incarnation,
         clock: stamp.clock,
     };
-    parts.decisions.tell(Decision::Observe(Box::new(stamp)));
-    Some(known)
+    context
+        .decisions
+        .send(DecisionsMessage::ObserveStamp(Box::new(stamp)));
+    Some(observed)
 }
 
-/// Asks on the open connection, and once more on a new one if it was lost: the question may
-/// be repeated, and an idle connection that went silent says nothing about the sidecar.
-async fn ask_hello(
-    parts: &EntryParts,
+/// Sends a hello on the open connection, and again on a new one if that was lost.
+///
+/// A hello may be repeated, and a lost idle connection does not mean that the sidecar is down.
+async fn send_hello(
+    context: &EntryContext,
     address: SocketAddr,
     hello: Vec<u8>,
 ) -> Option<Response<Incoming>> {
-    let peers = &parts.peers;
+    let peers = &context.peers;
     let connection = peers.connection(address).await.ok()?;
     let number = connection.number();
     match connection.post("/hello", hello.clone()).await {
         Ok(response) => Some(response),
         Err(_lost) => {
-            parts.counters.count("hello.connection_lost");
+            context.counters.count("hello.connection_lost");
             let connection = peers.connection_after(address, Some(number)).await.ok()?;
             connection.post("/hello", hello).await.ok()
         }
--- a/crates/amaranthscale/src/entry/request/stage_input.rs
+++ b/crates/amaranthscale/src/entry/request/stage_input.rs
@@ -1,11 +1,11 @@
-//! What a stage is given: the caller's request and the stage before.
+//! Input of a stage: the caller's body and the previous stage's result.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
 /// Builds the body for a stage from the caller's body and the previous stage's result.
 ///
-/// Both are JSON already, so they are joined as bytes. A long case file is not parsed and written
-/// anew at every stage.
+/// Both are JSON, so they are joined as bytes: large bodies are not parsed and serialised again at
+/// every stage.
 #[must_use]
 pub fn stage_input(request: &Bytes, previous: Option<&Bytes>) -> Bytes {
     const REQUEST: &[u8] = br#"{"request":"#;
--- a/crates/amaranthscale/src/entry/request/stage_run.rs
+++ b/crates/amaranthscale/src/entry/request/stage_run.rs
@@ -1,4 +1,4 @@
-//! One stage of a request: attempts until one gives the result, or nothing more may be tried.
+//! One stage of a request: attempts until one succeeds or no further attempt is allowed.
 
 use std::time::Duration;
 
@@ -11,51 +11,52 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::Instant;
 
+use super::attempt_guard::AttemptGuard;
 use super::attempt_run::{AttemptOutcome, AttemptRun, Destination};
-use super::attempt_watch::AttemptWatch;
-use super::claim_check::{ClaimHolder, ClaimNext, cancel_claim, check_claim};
+use super::claim_check::{ClaimAction, ClaimHolder, cancel_claim, check_claim};
 use super::hedged_attempt::HedgedAttempt;
 use super::sent_attempt::{EndedAttempt, SentAttempt};
-use super::sidecar_hello::known_sidecar;
+use super::sidecar_hello::observed_sidecar;
 use super::stage_task::StageTask;
-use super::{Answer, TokenLines, TokenText};
-use crate::entry::process::{AttemptKind, EntryParts};
+use super::{Answer, TokenCollector, TokenText};
+use crate::entry::process::{AttemptKind, EntryContext};
 
-/// Most attempts at one stage, so that a request cannot wander over a whole service.
+/// Maximum number of attempts at one stage, so that a request cannot try every host of a service.
 const MAX_ATTEMPTS: u32 = 5;
-/// Least time given to settling a claim, also past the deadline: the answer must be right first.
-const SETTLE_PATIENCE: Duration = Duration::from_millis(500);
+/// Minimum time for settling a claim, even past the deadline: a correct answer comes before a
+/// timely one.
+const MIN_SETTLE_TIME: Duration = Duration::from_millis(500);
 
 /// Runs one stage.
 #[derive(Debug)]
 pub struct StageRun<'a> {
-    parts: &'a EntryParts,
+    context: &'a EntryContext,
     task: StageTask<'a>,
     number: AttemptNumber,
     tried: Vec<HostId>,
-    lines: TokenLines,
+    collector: TokenCollector,
     ticket: Option<ClaimTicket>,
     last_refusal: Option<Answer>,
     has_run: bool,
     is_resend: bool,
 }
 
-/// What one attempt means for the stage.
-enum Verdict {
-    Done(Answer),
-    TryAgain,
+/// How a stage proceeds after an attempt.
+enum StageStep {
+    Finish(Answer),
+    Retry,
 }
 
 impl<'a> StageRun<'a> {
-    /// Prepares a stage.
+    /// Prepares the run of a stage.
     #[must_use]
-    pub fn new(parts: &'a EntryParts, task: StageTask<'a>) -> Self {
+    pub fn new(context: &'a EntryContext, task: StageTask<'a>) -> Self {
         Self {
-            parts,
+            context,
             task,
             number: AttemptNumber::default(),
             tried: Vec::new(),
-            lines: TokenLines::default(),
+            collector: TokenCollector::default(),
             ticket: None,
             last_refusal: None,
             has_run: false,
@@ -63,54 +64,54 @@
         }
     }
 
-    /// Runs the stage to its one answer.
+    /// Runs the stage to its answer.
     pub async fn run(mut self) -> Answer {
         if !self.task.stage.is_repeatable {
             match self.check_claim().await {
-                ClaimNext::Dispatch(ticket) => self.ticket = Some(ticket),
-                ClaimNext::Follow(holder) => return self.follow(holder).await,
-                ClaimNext::Final(answer) => return answer,
+                ClaimAction::Dispatch(ticket) => self.ticket = Some(ticket),
+                ClaimAction::Follow(holder) => return self.follow(holder).await,
+                ClaimAction::Final(answer) => return answer,
             }
         }
         while self.number.get() < MAX_ATTEMPTS {
             match self.attempt().await {
-                Verdict::Done(answer) => return answer,
-                Verdict::TryAgain => self.number = self.number.next(),
+                StageStep::Finish(answer) => return answer,
+                StageStep::Retry => self.number = self.number.next(),
             }
         }
-        self.out_of_tries()
+        self.attempts_exhausted()
     }
 
-    async fn attempt(&mut self) -> Verdict {
-        let kind = self.next_kind();
-        let question = self.task.route_question(self.tried.clone(), kind);
-        let mut route = match self.parts.decisions.route(question).await {
+    async fn attempt(&mut self) -> StageStep {
+        let kind = self.next_attempt_kind();
+        let query = self.task.route_query(self.tried.clone(), kind);
+        let mut route = match self.context.decisions.route(query).await {
             Ok(route) => route,
-            Err(refusal) => return Verdict::Done(self.no_route(refusal)),
+            Err(refusal) => return StageStep::Finish(self.route_refused(refusal)),
         };
-        let mut watch = AttemptWatch::new(self.parts, &self.task, &mut route);
+        let mut guard = AttemptGuard::new(self.context, &self.task, &mut route);
         self.tried.push(route.host.clone());
-        let Some(known) = known_sidecar(self.parts, &self.task, &route).await else {
-            watch.ended(AttemptEnd::TimedOut, None, StageCost::default());
-            self.last_refusal = Some(Answer::of_code(ResultCode::NoBackendServer));
-            return Verdict::TryAgain;
+        let Some(observed) = observed_sidecar(self.context, &self.task, &route).await else {
+            guard.report_end(AttemptEnd::TimedOut, None, StageCost::default());
+            self.last_refusal = Some(Answer::from_code(ResultCode::NoBackendServer));
+            return StageStep::Retry;
         };
         let dispatch = Dispatch {
             claim: self.ticket.clone(),
-            resume_token: self.lines.next_token(),
+            resume_token: self.collector.next_token(),
             ..self
                 .task
-                .dispatch(self.parts, self.number, known, route.stage_due)
+                .dispatch(self.context, self.number, observed, route.stage_deadline)
         };
-        let sent = SentAttempt::new(self.parts, &self.task, &route, dispatch, watch);
+        let sent = SentAttempt::new(self.context, &self.task, &route, dispatch, guard);
         let ended = match route.hedge_after {
-            Some(delay) if !self.task.stage.is_streaming => self.hedged(sent, delay).await,
-            _ => self.alone(sent).await,
+            Some(delay) if !self.task.stage.is_streaming => self.run_hedged(sent, delay).await,
+            _ => self.run_single(sent).await,
         };
-        self.judge(ended).await
+        self.evaluate(ended).await
     }
 
-    fn next_kind(&mut self) -> AttemptKind {
+    fn next_attempt_kind(&mut self) -> AttemptKind {
         match (self.number.get(), std::mem::take(&mut self.is_resend)) {
             (0, _) => AttemptKind::First,
             (_, true) => AttemptKind::Resend,
@@ -118,18 +119,18 @@
         }
     }
 
-    async fn alone(&mut self, sent: SentAttempt<'_>) -> EndedAttempt {
-        self.lines.resume();
-        let lines = &mut self.lines;
+    async fn run_single(&mut self, sent: SentAttempt<'_>) -> EndedAttempt {
+        self.collector.discard_partial_line();
+        let collector = &mut self.collector;
         let (is_streaming, tokens) = (self.task.stage.is_streaming, self.task.tokens);
-        sent.run(move |data: &[u8]| take_tokens(is_streaming, lines, tokens, data))
+        sent.run(move |data: &[u8]| collect_tokens(is_streaming, collector, tokens, data))
             .await
     }
 
-    async fn hedged(&mut self, sent: SentAttempt<'_>, delay: Duration) -> EndedAttempt {
+    async fn run_hedged(&mut self, sent: SentAttempt<'_>, delay: Duration) -> EndedAttempt {
         let number = self.number.next();
         let tried = self.tried.clone();
-        let hedged = HedgedAttempt::new(self.parts, &self.task, number, tried);
+        let hedged = HedgedAttempt::new(self.context, &self.task, number, tried);
         let end = hedged.run(sent, delay).await;
         if let Some(host) = end.hedge_host {
             self.tried.push(host);
@@ -139,36 +140,36 @@
         end.ended
     }
 
-    async fn judge(&mut self, mut ended: EndedAttempt) -> Verdict {
+    async fn evaluate(&mut self, mut ended: EndedAttempt) -> StageStep {
         if let AttemptOutcome::Complete(result, end) = &ended.outcome {
             let answer = self.complete(result.clone(), end.outcome.backend_status);
             let Some(answer) = answer else {
-                self.parts.counters.count("result.broken_stream");
+                self.context.counters.count("result.broken_stream");
                 ended.report_unusable();
                 self.has_run = true;
-                return Verdict::TryAgain;
+                return StageStep::Retry;
             };
             ended.report();
-            return Verdict::Done(answer);
+            return StageStep::Finish(answer);
         }
         ended.report();
         match ended.outcome {
             AttemptOutcome::NotRun(code, retry_after_ms, _) => {
-                self.not_run(code, retry_after_ms, &ended.host).await
+                self.handle_not_run(code, retry_after_ms, &ended.host).await
             }
             AttemptOutcome::Failed(end) => {
-                self.failed(end.outcome.code, end.outcome.backend_status)
+                self.handle_failure(end.outcome.code, end.outcome.backend_status)
             }
-            AttemptOutcome::TimedOut => self.timed_out(ended.destination).await,
+            AttemptOutcome::TimedOut => self.handle_timeout(ended.destination).await,
             AttemptOutcome::Unknown | AttemptOutcome::Complete(..) => {
-                self.unknown(ended.destination).await
+                self.handle_unknown(ended.destination).await
             }
         }
     }
 
     fn complete(&self, result: Bytes, backend_status: u16) -> Option<Answer> {
         let result = if self.task.stage.is_streaming {
-            self.lines.whole()?
+            self.collector.full_text()?
         } else {
             result
         };
@@ -178,115 +179,115 @@
         })
     }
 
-    /// A refusal that is proven not run: another sidecar may take the work.
-    async fn not_run(
+    /// Handles a refusal whose attempt provably did not run: another sidecar may do the work.
+    async fn handle_not_run(
         &mut self,
         code: ResultCode,
         retry_after_ms: Option<u64>,
         host: &HostId,
-    ) -> Verdict {
-        self.parts
+    ) -> StageStep {
+        self.context
             .counters
             .count_reason("attempt.refused", code.name());
         let answer = Answer {
             retry_after_ms,
-            ..Answer::of_code(code)
+            ..Answer::from_code(code)
         };
         match code {
-            ResultCode::ClaimLost => self.claim_lost().await,
+            ResultCode::ClaimLost => self.handle_lost_claim().await,
             ResultCode::WrongIncarnation | ResultCode::AttemptExpired => {
-                // The sidecar is fine; only our knowledge of it was old.
+                // The sidecar is healthy; only this entry's view of it was stale.
                 self.tried.retain(|tried| tried != host);
-                self.again_after(answer)
+                self.retry_or_finish(answer)
             }
             ResultCode::AttemptRevoked => {
-                // Guards against an idle connection that went silent: each attempt sent on it never
-                // arrives, and with the host left out, or the retry budget empty, the caller would
-                // see a refusal with most of its deadline left. The sidecar is fine, since it took
-                // the attempt back on a new connection, and the attempt has cost it nothing.
+                // An attempt sent on a dead idle connection never arrives. Excluding the host or
+                // charging the retry budget could refuse the caller with most of its deadline left,
+                // although the sidecar is healthy: it revoked the attempt on a new connection, and
+                // the attempt has cost it nothing.
                 self.tried.retain(|tried| tried != host);
                 self.is_resend = true;
-                self.again_after(answer)
+                self.retry_or_finish(answer)
             }
-            _ => self.again_after(answer),
+            _ => self.retry_or_finish(answer),
         }
     }
 
-    fn failed(&mut self, code: ResultCode, backend_status: u16) -> Verdict {
-        self.parts
+    fn handle_failure(&mut self, code: ResultCode, backend_status: u16) -> StageStep {
+        self.context
             .counters
             .count_reason("attempt.failed", code.name());
         self.has_run = true;
         let is_broken = code == ResultCode::BackendBroke || backend_status >= 500;
         let answer = Answer {
             backend_status,
-            ..Answer::of_code(code)
+            ..Answer::from_code(code)
         };
         if self.task.stage.is_repeatable && is_broken {
-            return self.again_after(answer);
+            return self.retry_or_finish(answer);
         }
-        Verdict::Done(answer)
+        StageStep::Finish(answer)
     }
 
-    /// Whether the attempt ran cannot be told from its sidecar.
-    async fn unknown(&mut self, destination: Destination) -> Verdict {
-        self.parts.counters.count("attempt.unknown");
+    /// Handles an attempt whose sidecar does not show whether it ran.
+    async fn handle_unknown(&mut self, destination: Destination) -> StageStep {
+        self.context.counters.count("attempt.unknown");
         if self.task.stage.is_repeatable {
             self.has_run = true;
-            return self.again_after(Answer::of_code(ResultCode::BackendBroke));
+            return self.retry_or_finish(Answer::from_code(ResultCode::BackendBroke));
         }
         self.settle_claim(destination).await
     }
 
-    async fn timed_out(&mut self, destination: Destination) -> Verdict {
-        self.parts.counters.count("attempt.timed_out");
+    async fn handle_timeout(&mut self, destination: Destination) -> StageStep {
+        self.context.counters.count("attempt.timed_out");
         if self.task.stage.is_repeatable {
-            return Verdict::Done(Answer::of_code(ResultCode::DeadlinePassed));
+            return StageStep::Finish(Answer::from_code(ResultCode::DeadlinePassed));
         }
         match self.settle_claim(destination).await {
-            // The call goes on, and its outcome is kept: the same key brings it later.
-            Verdict::Done(answer) if answer.code == ResultCode::OutcomeUnknown => {
-                Verdict::Done(Answer::of_code(ResultCode::StillRunning))
+            // The call continues and its outcome is stored; a request with the same key returns it.
+            StageStep::Finish(answer) if answer.code == ResultCode::OutcomeUnknown => {
+                StageStep::Finish(Answer::from_code(ResultCode::StillRunning))
             }
             verdict => verdict,
         }
     }
 
-    async fn settle_claim(&mut self, destination: Destination) -> Verdict {
+    async fn settle_claim(&mut self, destination: Destination) -> StageStep {
         let Some(ticket) = self.ticket.clone() else {
-            return Verdict::Done(Answer::of_code(ResultCode::OutcomeUnknown));
+            return StageStep::Finish(Answer::from_code(ResultCode::OutcomeUnknown));
         };
-        let until = self.task.due.max(Instant::now() + SETTLE_PATIENCE);
+        let until = self.task.deadline.max(Instant::now() + MIN_SETTLE_TIME);
         let attempt = destination.attempt;
-        let next = cancel_claim(self.parts, &ticket, attempt, self.task.entry, until).await;
-        match next {
-            ClaimNext::Dispatch(ticket) => {
+        let action = cancel_claim(self.context, &ticket, attempt, self.task.entry, until).await;
+        match action {
+            ClaimAction::Dispatch(ticket) => {
                 self.ticket = Some(ticket);
-                self.again_after(Answer::of_code(ResultCode::NoBackendServer))
+                self.retry_or_finish(Answer::from_code(ResultCode::NoBackendServer))
             }
-            // The holder was asked already and did not answer.
-            ClaimNext::Follow(holder) if holder.attempt == attempt => {
-                Verdict::Done(Answer::of_code(ResultCode::OutcomeUnknown))
+            // The holder was already queried and did not answer.
+            ClaimAction::Follow(holder) if holder.attempt == attempt => {
+                StageStep::Finish(Answer::from_code(ResultCode::OutcomeUnknown))
             }
-            ClaimNext::Follow(holder) => Verdict::Done(self.follow(holder).await),
-            ClaimNext::Final(answer) => Verdict::Done(answer),
+            ClaimAction::Follow(holder) => StageStep::Finish(self.follow(holder).await),
+            ClaimAction::Final(answer) => StageStep::Finish(answer),
         }
     }
 
-    async fn claim_lost(&mut self) -> Verdict {
+    async fn handle_lost_claim(&mut self) -> StageStep {
         match self.check_claim().await {
-            ClaimNext::Dispatch(ticket) => {
+            ClaimAction::Dispatch(ticket) => {
                 self.ticket = Some(ticket);
-                self.again_after(Answer::of_code(ResultCode::ClaimLost))
+                self.retry_or_finish(Answer::from_code(ResultCode::ClaimLost))
             }
-            ClaimNext::Follow(holder) => Verdict::Done(self.follow(holder).await),
-            ClaimNext::Final(answer) => Verdict::Done(answer),
+            ClaimAction::Follow(holder) => StageStep::Finish(self.follow(holder).await),
+            ClaimAction::Final(answer) => StageStep::Finish(answer),
         }
     }
 
-    async fn check_claim(&self) -> ClaimNext {
+    async fn check_claim(&self) -> ClaimAction {
         let Some(key) = self.task.request.key.clone() else {
-            return ClaimNext::Final(Answer::of_code(ResultCode::MissingIdempotencyKey));
+            return ClaimAction::Final(Answer::from_code(ResultCode::MissingIdempotencyKey));
         };
         let organisation = self.task.request.organisation.clone();
         let key = ClaimKey {
@@ -294,13 +295,13 @@
             key,
             stage: self.task.index,
         };
-        check_claim(self.parts, &key, self.task.request.fingerprint).await
+        check_claim(self.context, &key, self.task.request.fingerprint).await
     }
 
-    /// Asks the sidecar that holds the claim for the answer.
+    /// Fetches the answer from the sidecar that holds the claim.
     async fn follow(&self, holder: ClaimHolder) -> Answer {
-        let unknown = Answer::of_code(ResultCode::OutcomeUnknown);
-        let Some(address) = self.parts.decisions.address(&holder.host).await else {
+        let unknown = Answer::from_code(ResultCode::OutcomeUnknown);
+        let Some(address) = self.context.decisions.address(&holder.host).await else {
             return unknown;
         };
         let destination = Destination {
@@ -309,9 +310,9 @@
             incarnation: holder.incarnation,
             expiry: amaranthscale_core::unit::SidecarClock::default(),
             is_repeatable: false,
-            due: self.task.due,
+            deadline: self.task.deadline,
         };
-        match AttemptRun::new(self.parts, destination, |_data: &[u8]| {})
+        match AttemptRun::new(self.context, destination, |_data: &[u8]| {})
             .follow()
             .await
         {
@@ -324,28 +325,28 @@
             }
             AttemptOutcome::Failed(end) => Answer {
                 backend_status: end.outcome.backend_status,
-                ..Answer::of_code(end.outcome.code)
+                ..Answer::from_code(end.outcome.code)
             },
-            AttemptOutcome::TimedOut => Answer::of_code(ResultCode::StillRunning),
-            // The holder is proven not to have made the call, and its row is being freed.
+            AttemptOutcome::TimedOut => Answer::from_code(ResultCode::StillRunning),
+            // The holder provably did not make the call, and its row is being freed.
             AttemptOutcome::NotRun(code, retry_after_ms, _) => Answer {
                 retry_after_ms,
-                ..Answer::of_code(code)
+                ..Answer::from_code(code)
             },
             AttemptOutcome::Unknown => unknown,
         }
     }
 
-    fn again_after(&mut self, answer: Answer) -> Verdict {
-        if Instant::now() >= self.task.due {
-            return Verdict::Done(self.final_refusal(answer));
+    fn retry_or_finish(&mut self, answer: Answer) -> StageStep {
+        if Instant::now() >= self.task.deadline {
+            return StageStep::Finish(self.final_refusal(answer));
         }
         self.last_refusal = Some(answer);
-        Verdict::TryAgain
+        StageStep::Retry
     }
 
-    fn no_route(&mut self, refusal: Refusal) -> Answer {
-        self.parts
+    fn route_refused(&mut self, refusal: Refusal) -> Answer {
+        self.context
             .counters
             .count_reason("route.refused", refusal.code.name());
         let answer = self.last_refusal.take().unwrap_or_else(|| refusal.into());
@@ -356,13 +357,13 @@
         })
     }
 
-    fn out_of_tries(mut self) -> Answer {
+    fn attempts_exhausted(mut self) -> Answer {
         let last = self.last_refusal.take();
-        let answer = last.unwrap_or_else(|| Answer::of_code(ResultCode::NoBackendServer));
+        let answer = last.unwrap_or_else(|| Answer::from_code(ResultCode::NoBackendServer));
         self.final_refusal(answer)
     }
 
-    /// Guards against saying "not run" of repeatable work whose earlier attempt ran.
+    /// Replaces a code that means "not run" if an earlier attempt of the stage ran.
     fn final_refusal(&self, answer: Answer) -> Answer {
         if self.has_run && answer.code.ran() == Ran::No {
             return Answer {
@@ -374,22 +375,22 @@
     }
 }
 
-fn take_tokens(
+fn collect_tokens(
     is_streaming: bool,
-    lines: &mut TokenLines,
+    collector: &mut TokenCollector,
     tokens: Option<&UnboundedSender<TokenText>>,
     data: &[u8],
 ) {
     if !is_streaming {
         return;
     }
-    let Some(new) = lines.take(data) else {
-        debug!("entry: a stream skipped a token");
+    let Some(new_tokens) = collector.push(data) else {
+        debug!("entry: a stream has a missing or invalid token line");
         return;
     };
     if let Some(tokens) = tokens {
-        for token in new {
-            // The caller may have gone; the run notices by itself.
+        for token in new_tokens {
+            // If the caller has disconnected, the run is dropped by its owner.
             let _ = tokens.send(token);
         }
     }
--- a/crates/amaranthscale/src/entry/request/stage_task.rs
+++ b/crates/amaranthscale/src/entry/request/stage_task.rs
@@ -1,4 +1,4 @@
-//! What a stage works on, and the messages that follow from it.
+//! Input of a stage, and the messages built from it.
 
 use std::time::Duration;
 
@@ -11,71 +11,71 @@
 use tokio::time::Instant;
 
 use super::{CallerRequest, TokenText};
-use crate::entry::process::{AttemptKind, EntryParts, KnownSidecar, RouteQuestion};
+use crate::entry::process::{AttemptKind, EntryContext, ObservedSidecar, RouteQuery};
 
-/// Part of the remaining time that an attempt may not use, so that its own end arrives before the
-/// request's deadline and says whether it ran.
+/// Fraction of the remaining time that is withheld from an attempt, so that its end frame arrives
+/// before the request's deadline and shows whether it ran.
 const MARGIN_DIVISOR: u32 = 20;
-/// Longest time kept back for an attempt's own end.
+/// Maximum time withheld from an attempt for its end frame.
 const LONGEST_MARGIN: Duration = Duration::from_millis(50);
 
-/// What a stage works on.
+/// Input of a stage.
 #[derive(Debug, Clone)]
 pub struct StageTask<'a> {
     /// Request that the stage belongs to.
     pub request: &'a CallerRequest,
     /// Id of that request.
     pub request_id: RequestId,
-    /// Position of the stage.
+    /// Position of the stage in the request.
     pub index: StageIndex,
-    /// The stage.
+    /// Settings of the stage.
     pub stage: &'a Stage,
     /// The stages after it.
-    pub later: &'a [Stage],
+    pub later_stages: &'a [Stage],
     /// Body for the backend server.
     pub input: Bytes,
-    /// When the request's answer is due.
-    pub due: Instant,
+    /// Deadline of the request.
+    pub deadline: Instant,
     /// Host of this entry.
     pub entry: &'a HostId,
-    /// Takes tokens as they come, if the caller wants them.
+    /// Receives tokens as they arrive, if the caller wants them streamed.
     pub tokens: Option<&'a UnboundedSender<TokenText>>,
 }
 
 impl StageTask<'_> {
-    /// The question for the sidecar of an attempt.
+    /// The query for the sidecar of an attempt.
     #[must_use]
-    pub fn route_question(&self, exclude: Vec<HostId>, kind: AttemptKind) -> RouteQuestion {
-        RouteQuestion {
+    pub fn route_query(&self, exclude: Vec<HostId>, kind: AttemptKind) -> RouteQuery {
+        RouteQuery {
             service: self.stage.service.clone(),
-            later: self.later_services(),
+            later_services: self.later_services(),
             class: self.request.class,
             exclude,
             affinity: self.request.affinity,
             kind,
             is_repeatable: self.stage.is_repeatable,
-            due: self.due,
+            deadline: self.deadline,
         }
     }
 
-    /// The message of an attempt, without a claim and from the first token on.
+    /// The dispatch message of an attempt, without a claim and starting at the first token.
     ///
-    /// Its expiry leaves the later stages their time, so that the sidecar's queue starts nothing
-    /// whose answer would come too late for them. What has started may use the whole rest: the
-    /// later stages may turn out quicker than estimated.
+    /// Its expiry reserves the estimated time of the later stages, so that the sidecar does not
+    /// start queued work that would end too late for them. Started work may use all of the
+    /// remaining time, because the later stages may be faster than estimated.
     #[must_use]
     pub fn dispatch(
         &self,
-        parts: &EntryParts,
+        context: &EntryContext,
         number: AttemptNumber,
-        known: KnownSidecar,
-        stage_due: Instant,
+        observed: ObservedSidecar,
+        stage_deadline: Instant,
     ) -> Dispatch {
         let now = Instant::now();
-        let left = self.due.saturating_duration_since(now);
+        let left = self.deadline.saturating_duration_since(now);
         let margin = LONGEST_MARGIN.min(left / MARGIN_DIVISOR);
         let budget = TimeBudget::new(left.saturating_sub(margin));
-        let stage_left = stage_due.saturating_duration_since(now);
+        let stage_left = stage_deadline.saturating_duration_since(now);
         let request = self.request;
         Dispatch {
             attempt: AttemptId {
@@ -83,8 +83,8 @@
                 stage: self.index,
                 number,
             },
-            incarnation: known.incarnation,
-            expiry: known.clock.plus(budget.duration().min(stage_left)),
+            incarnation: observed.incarnation,
+            expiry: observed.clock.plus(budget.duration().min(stage_left)),
             budget,
             organisation: request.organisation.clone(),
             class: request.class,
@@ -93,13 +93,13 @@
             path: self.stage.path.clone(),
             claim: None,
             resume_token: 0,
-            tree_version: parts.tree.borrow().version(),
+            tree_version: context.tree.borrow().version(),
             input: self.input.to_vec(),
         }
     }
 
     fn later_services(&self) -> Vec<ServiceId> {
-        let services = self.later.iter().map(|stage| &stage.service);
+        let services = self.later_stages.iter().map(|stage| &stage.service);
         services.cloned().collect()
     }
 }
--- a/crates/amaranthscale/src/entry/start_error.rs
+++ b/crates/amaranthscale/src/entry/start_error.rs
@@ -1,4 +1,4 @@
-//! Why an entry did not start.
+//! Errors that prevent an entry from starting.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,23 +8,23 @@
 use crate::process::CountersError;
 
 quick_error! {
-    /// An entry that could not start.
+    /// Error that prevents an entry from starting.
     #[derive(Debug)]
     pub enum StartError {
-        /// An address cannot be listened at.
+        /// An address cannot be bound.
         Listen(address: SocketAddr, cause: io::Error) {
-            display("cannot listen at {address}: {cause}; choose a free address")
+            display("cannot listen on {address}: {cause}; choose a free address")
             source(cause)
         }
-        /// Counters cannot be sent.
+        /// The statsd client cannot be created.
         Metrics(cause: CountersError) {
             display("{cause}; check [metrics] statsd")
             source(cause)
             from()
         }
-        /// An actor did not start.
+        /// An actor failed to start.
         Actor(cause: ractor::SpawnErr) {
-            display("an actor did not start: {cause}")
+            display("an actor failed to start: {cause}")
             source(cause)
             from()
         }
--- a/crates/amaranthscale/tests/entry_decisions.rs
+++ b/crates/amaranthscale/tests/entry_decisions.rs
@@ -1,12 +1,12 @@
-//! What an entry's decisions answer to the stages of a request.
+//! Routing and admission decisions of an entry for the stages of a request.
 
 #![expect(clippy::unwrap_used, reason = "fixtures of tests may panic")]
 
 use std::time::Duration;
 
 use amaranthscale::entry::process::{
-    AdmissionQuestion, AttemptKind, Decision, Decisions, DecisionsArguments, DecisionsHandle,
-    RouteQuestion,
+    AdmissionQuery, AttemptKind, Decisions, DecisionsArguments, DecisionsHandle, DecisionsMessage,
+    RouteQuery,
 };
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::id::{Incarnation, TreeVersion};
@@ -43,7 +43,7 @@
     }
 }
 
-/// Decisions that know one reranker and one generator.
+/// Decisions actor that has observed one reranker and one generator.
 async fn decisions() -> DecisionsHandle {
     let arguments = DecisionsArguments {
         host: "entry-1".parse().unwrap(),
@@ -54,83 +54,87 @@
     };
     let (actor, _joined) = Actor::spawn(None, Decisions, arguments).await.unwrap();
     let handle = DecisionsHandle::new(actor);
-    handle.tell(Decision::Hosts(HostList {
+    handle.send(DecisionsMessage::HostsChanged(HostList {
         version: 1,
         hosts: vec![
             record("rerank-1", "rerankers"),
             record("assay-1", "assay-llm"),
         ],
     }));
-    handle.tell(Decision::Observe(Box::new(stamp("rerank-1", 20))));
-    handle.tell(Decision::Observe(Box::new(stamp("assay-1", GENERATION_MS))));
+    handle.send(DecisionsMessage::ObserveStamp(Box::new(stamp(
+        "rerank-1", 20,
+    ))));
+    handle.send(DecisionsMessage::ObserveStamp(Box::new(stamp(
+        "assay-1",
+        GENERATION_MS,
+    ))));
     handle
 }
 
-fn rerank(due: Instant) -> RouteQuestion {
-    RouteQuestion {
+fn rerank(deadline: Instant) -> RouteQuery {
+    RouteQuery {
         service: "rerankers".parse().unwrap(),
-        later: vec!["assay-llm".parse().unwrap()],
+        later_services: vec!["assay-llm".parse().unwrap()],
         class: Class::Paid,
         exclude: Vec::new(),
         affinity: None,
         kind: AttemptKind::First,
         is_repeatable: true,
-        due,
+        deadline,
     }
 }
 
-/// Reranking is busy, and a driver's answer still has to be generated after it.
-/// With the whole rest as its expiry the reranking would start so late that the driver gets no
-/// answer in time. Its expiry leaves the generation its time.
+/// Guards against reranking that starts so late that no time is left to generate the answer. It
+/// happens on a busy reranker if the attempt's expiry is the request's whole remaining time; the
+/// expiry must reserve the estimated time of the generation.
 #[tokio::test(start_paused = true)]
-async fn a_stage_leaves_the_later_ones_their_time() {
+async fn stage_deadline_reserves_time_for_later_stages() {
     let decisions = decisions().await;
-    let due = Instant::now() + Duration::from_secs(1);
+    let deadline = Instant::now() + Duration::from_secs(1);
 
-    let route = decisions.route(rerank(due)).await.unwrap();
+    let route = decisions.route(rerank(deadline)).await.unwrap();
 
-    let kept = Duration::from_millis(u64::from(GENERATION_MS));
-    assert_eq!(route.stage_due, due - kept);
+    let reserved = Duration::from_millis(u64::from(GENERATION_MS));
+    assert_eq!(route.stage_deadline, deadline - reserved);
 }
 
-/// A settlement is followed by a printed receipt whose service is slow.
-/// Expired early for the receipt's sake, the grower would not be paid in time. The settlement keeps
-/// the whole rest.
+/// Guards against a settlement that expires early because the stage after it, a printed receipt, is
+/// slow. A call that may not be repeated gets all of the remaining time.
 #[tokio::test(start_paused = true)]
-async fn a_call_that_may_not_be_repeated_keeps_the_whole_rest() {
+async fn non_repeatable_call_gets_all_remaining_time() {
     let decisions = decisions().await;
-    let due = Instant::now() + Duration::from_millis(100);
-    let settlement = RouteQuestion {
+    let deadline = Instant::now() + Duration::from_millis(100);
+    let settlement = RouteQuery {
         is_repeatable: false,
-        ..rerank(due)
+        ..rerank(deadline)
     };
 
     let route = decisions.route(settlement).await.unwrap();
 
-    assert_eq!(route.stage_due, due);
+    assert_eq!(route.stage_deadline, deadline);
 }
 
-/// A driver's request comes to reranking with less time than the generation after it takes.
-/// Sent without any time of its own, it would be refused by one sidecar after the other and use up
-/// the retries of other callers. It is refused at once, and the driver hears of it early.
+/// Guards against an attempt without any time left that is refused by one sidecar after another and
+/// uses up the retry budget of other callers. It happens when a request reaches reranking with less
+/// time than the generation after it needs; the entry must refuse it at once.
 #[tokio::test(start_paused = true)]
-async fn a_stage_without_time_is_refused_at_once() {
+async fn stage_without_remaining_time_is_refused_at_once() {
     let decisions = decisions().await;
-    let due = Instant::now() + Duration::from_millis(100);
+    let deadline = Instant::now() + Duration::from_millis(100);
 
-    let refusal = decisions.route(rerank(due)).await.unwrap_err();
+    let refusal = decisions.route(rerank(deadline)).await.unwrap_err();
 
     assert_eq!(refusal.code, ResultCode::DeadlineUnreachable);
 }
 
-/// A caller closes the connection just as its request is admitted and routed. Nothing runs, yet from
-/// then on one request more counts as in flight; after some thousands the organisation is refused
-/// (2102) though nothing of its runs. The cause: an answer that nobody reads has set something aside.
+/// Guards against requests that count as in flight although nothing runs. It happens when a caller
+/// disconnects just as its request is admitted and the reply is never read; after some thousands of
+/// them the organisation is refused (2102).
 #[tokio::test]
-async fn an_answer_that_nobody_reads_sets_nothing_aside() {
+async fn unread_admission_is_released() {
     // Arrange
     let decisions = decisions().await;
-    let question = AdmissionQuestion {
+    let query = AdmissionQuery {
         organisation: "north-intake".parse().unwrap(),
         class: Class::Paid,
         limit_per_second: RatePerSecond::new(1000.0),
@@ -139,21 +143,21 @@
         budget: TimeBudget::from_millis(9000),
     };
 
-    // Act: each admission is dropped as with its caller.
+    // Act: each admission is dropped, as if its caller had disconnected.
     for _ in 0..10 {
-        let admitted = decisions.admit(question.clone()).await;
+        let admitted = decisions.admit(query.clone()).await;
         assert!(
             admitted.is_ok(),
-            "the one before was given back: {admitted:?}"
+            "the previous admission was released: {admitted:?}"
         );
     }
 
     // Assert
-    let mut kept = decisions.admit(question.clone()).await.unwrap();
-    kept.keep();
+    let mut committed = decisions.admit(query.clone()).await.unwrap();
+    committed.commit();
     assert_eq!(decisions.status().await.in_flight, 1);
     assert!(
-        decisions.admit(question).await.is_err(),
-        "a kept one counts"
+        decisions.admit(query).await.is_err(),
+        "a committed admission counts"
     );
 }
