--- a/crates/amaranthscale/src/gateway/process/crash_watch.rs
+++ b/crates/amaranthscale/src/gateway/process/crash_watch.rs
@@ -89,7 +89,7 @@
         };
         let request = content.fingerprint();
         if let Some(renewal) = state.quarantine.renewal_of(request, now) {
-            for (request, server) in renewal.blames() {
+            for (request, server) in renewal.suspicions() {
                 state.untold.add_crash(server, request);
             }
             self.note_untold(&mut state, now);
@@ -250,7 +250,7 @@
         info!(server:% = server, sign, lost = requests.len(); "servers: crashed");
         for request in requests {
             state.untold.add_crash(server, request);
-            if state.untold.blames().count() >= MOST_TOLD_AT_ONCE {
+            if state.untold.suspicions().count() >= MOST_TOLD_AT_ONCE {
                 self.note_untold(&mut state, now);
                 state.close_untold(&self.instance);
             }
--- a/crates/amaranthscale/src/gateway/process/tell_crashes.rs
+++ b/crates/amaranthscale/src/gateway/process/tell_crashes.rs
@@ -43,7 +43,7 @@
             write_store_until_taken(&store, tell, RETRY_PAUSE, failed).await;
             parts.counters.count("quarantine.told");
             info!(
-                evidence:% = id, crashes = evidence.crashes.len(), suspects = evidence.blames().count(),
+                evidence:% = id, crashes = evidence.crashes.len(), suspects = evidence.suspicions().count(),
                 survivals = evidence.survivals.len();
                 "quarantine: evidence told"
             );
--- a/crates/core/src/process.rs
+++ b/crates/core/src/process.rs
@@ -1,9 +1,8 @@
-//! What lives as long as its process.
+//! State that lives as long as its process.
 //!
-//! The parts an entry decides by are [`Router`], [`Admission`], [`OrganisationLimits`],
-//! [`RetryBudget`] and [`HedgePolicy`]; a sidecar decides by its [`FairQueue`] and
-//! reports by its [`LoadMeter`]. [`CostTracker`] and
-//! [`AttainmentTracker`] count what came of it.
+//! An entry makes its decisions with [`Router`], [`Admission`], [`OrganisationLimits`],
+//! [`RetryBudget`] and [`HedgePolicy`]; a sidecar schedules with its [`FairQueue`] and reports load
+//! with its [`LoadMeter`]. [`CostTracker`] and [`AttainmentTracker`] count the outcomes.
 
 mod admission;
 mod admission_settings;
@@ -25,7 +24,7 @@
 mod first_event_estimator;
 mod freshness;
 mod hedge_policy;
-mod host_track;
+mod host_tracker;
 mod instance_view;
 mod lag_detector;
 mod load_meter;
@@ -48,7 +47,7 @@
 mod server_selector;
 mod shared_retry_budget;
 mod stage_estimate;
-mod zone_uses;
+mod zone_states;
 
 #[doc(inline)]
 pub use admission::Admission;
@@ -133,4 +132,4 @@
 #[doc(inline)]
 pub use stage_estimate::StageEstimate;
 #[doc(inline)]
-pub use zone_uses::{ZoneChange, ZoneState};
+pub use zone_states::{ZoneChange, ZoneState};
--- a/crates/core/src/process/admission.rs
+++ b/crates/core/src/process/admission.rs
@@ -1,9 +1,9 @@
-//! Refuses at once what cannot be answered in time.
+//! Refuses requests at once that cannot be answered in time.
 //!
-//! Work that starts and then misses its deadline takes slots from work that would not have. So an
-//! entry refuses on arrival when the budget is below what the remaining stages now take, and says
-//! when to come back. The time to come back grows with the share that was refused of late and
-//! carries jitter, so that a refused wave does not return as a wave.
+//! Work that starts and then misses its deadline takes slots from work that would have met its own.
+//! So an entry refuses a request on arrival if its budget is below the time that the remaining
+//! stages currently take, and tells the caller when to retry. The retry delay grows with the recent
+//! refusal rate and has jitter, so that a refused burst does not return as a burst.
 
 use std::time::Duration;
 
@@ -14,11 +14,12 @@
 use crate::ResultCode;
 use crate::unit::{Class, TimeBudget};
 
-/// Decisions over which the refused share is smoothed: long enough to tell a wave from a few.
+/// Number of decisions over which the refused share is smoothed, large enough to tell a burst from
+/// a few refusals.
 const SMOOTHING_DECISIONS: f64 = 64.0;
-/// Factor on the time to come back when everything was refused of late.
+/// Largest increase of the retry delay, as a factor, when all recent requests were refused.
 const MAX_PRESSURE: f64 = 8.0;
-/// The whole, in percent.
+/// One hundred percent.
 const PERCENT: u64 = 100;
 
 /// Admits or refuses requests at an entry.
@@ -47,7 +48,7 @@
 }
 
 impl Admission {
-    /// Admits with the usual settings.
+    /// Admits with the default settings.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Admits with other settings.
+    /// Replaces the settings.
     #[must_use]
     pub const fn with_settings(mut self, settings: AdmissionSettings) -> Self {
         self.settings = settings;
@@ -75,7 +76,7 @@
         let total_ms: u64 = remaining.iter().map(|stage| stage.total_ms()).sum();
         let needed_ms = total_ms * self.margin_percent(class) / PERCENT;
         let is_refused = TimeBudget::from_millis(needed_ms) > budget || budget.is_exhausted();
-        self.note(is_refused);
+        self.record_decision(is_refused);
         if is_refused {
             Err(self.refusal(remaining))
         } else {
@@ -83,10 +84,10 @@
         }
     }
 
-    /// What one stage may use, so that the later stages still fit.
+    /// Budget of one stage, so that the later stages still fit.
     ///
-    /// A sidecar that sees the whole budget would start work whose answer comes too late for the
-    /// stages after it; its expiry therefore leaves them their time at the backend servers.
+    /// With the whole budget, a sidecar would start work whose answer comes too late for the stages
+    /// after it. So the stage's expiry leaves the later stages their time at the backend servers.
     #[must_use]
     pub fn stage_budget(budget: TimeBudget, later: &[StageEstimate]) -> TimeBudget {
         let later_ms = later.iter().map(|stage| stage.service_ms).sum();
@@ -100,7 +101,7 @@
         }
     }
 
-    fn note(&mut self, is_refused: bool) {
+    fn record_decision(&mut self, is_refused: bool) {
         let sample = if is_refused { 1.0 } else { 0.0 };
         self.refused_share += (sample - self.refused_share) / SMOOTHING_DECISIONS;
     }
@@ -108,8 +109,8 @@
     fn refusal(&mut self, remaining: &[StageEstimate]) -> Refusal {
         let queue_ms: u64 = remaining.iter().map(|stage| stage.queue_ms).sum();
         let base = Duration::from_millis(queue_ms.max(self.settings.min_retry_after_ms));
-        let grown = base.mul_f64(1.0 + MAX_PRESSURE * self.refused_share);
-        let capped = grown.min(Duration::from_millis(self.settings.max_retry_after_ms));
+        let scaled = base.mul_f64(1.0 + MAX_PRESSURE * self.refused_share);
+        let capped = scaled.min(Duration::from_millis(self.settings.max_retry_after_ms));
         let jittered = capped.mul_f64(self.random.random_range(0.5..1.5));
         let retry_after_ms = u64::try_from(jittered.as_millis()).unwrap_or(u64::MAX);
         Refusal::new(ResultCode::DeadlineUnreachable, retry_after_ms)
--- a/crates/core/src/process/admission_settings.rs
+++ b/crates/core/src/process/admission_settings.rs
@@ -1,15 +1,15 @@
-//! Settings of the admission.
+//! Settings of admission control.
 
-/// How strictly an entry admits.
+/// How strictly an entry admits requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdmissionSettings {
-    /// Part of the estimate that a paid budget must cover, in percent.
+    /// Percentage of the estimate that a paid budget must cover.
     pub paid_margin_percent: u64,
-    /// Part of the estimate that a trial budget must cover, in percent.
+    /// Percentage of the estimate that a trial budget must cover.
     pub trial_margin_percent: u64,
-    /// Shortest time to come back.
+    /// Shortest retry delay.
     pub min_retry_after_ms: u64,
-    /// Longest time to come back, before jitter.
+    /// Longest retry delay, before jitter.
     pub max_retry_after_ms: u64,
 }
 
--- a/crates/core/src/process/attainment_tracker.rs
+++ b/crates/core/src/process/attainment_tracker.rs
@@ -16,11 +16,11 @@
 /// use amaranthscale_core::process::AttainmentTracker;
 /// use amaranthscale_core::unit::Class;
 ///
-/// let mut book = AttainmentTracker::default();
+/// let mut tracker = AttainmentTracker::default();
 /// let organisation = "delta-basin".parse().unwrap();
-/// book.record(Class::Paid, &organisation, ResultCode::Complete, true);
-/// book.record(Class::Paid, &organisation, ResultCode::QueueFull, true);
-/// assert_eq!(book.class(Class::Paid).attainment_basis_points(), Some(5_000));
+/// tracker.record(Class::Paid, &organisation, ResultCode::Complete, true);
+/// tracker.record(Class::Paid, &organisation, ResultCode::QueueFull, true);
+/// assert_eq!(tracker.class(Class::Paid).attainment_basis_points(), Some(5_000));
 /// ```
 #[derive(Debug, Default)]
 pub struct AttainmentTracker {
--- a/crates/core/src/process/attempt_end.rs
+++ b/crates/core/src/process/attempt_end.rs
@@ -1,18 +1,18 @@
-//! How an attempt ended, as the router sees it.
+//! How an attempt ended, as seen by the router.
 
 use crate::ResultCode;
 
 /// End of an attempt at a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// A whole answer came.
+    /// A complete answer arrived.
     Complete,
     /// The sidecar refused it.
     Refused(ResultCode),
     /// The backend server failed.
     Failed,
-    /// Nothing came in time.
+    /// No answer arrived in time.
     TimedOut,
-    /// The entry gave it up for its own reasons.
+    /// The entry cancelled it for its own reasons.
     Cancelled,
 }
--- a/crates/core/src/process/cold_limits.rs
+++ b/crates/core/src/process/cold_limits.rs
@@ -1,18 +1,18 @@
-//! What cold servers take: the servers' own words and the operators' bounds.
+//! Rate limits of cold servers, from their service's specification and the operators' allowance.
 
 use std::time::Duration;
 
-/// How far operators let cold servers be used beyond what the servers say.
+/// How far operators allow cold servers to exceed their service's rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdAllowance {
-    /// Times the servers' own rate.
+    /// Multiple of the service's rate.
     pub factor: f64,
-    /// Requests a second beyond that.
+    /// Additional requests per second.
     pub slack: f64,
 }
 
 impl Default for ColdAllowance {
-    /// The servers' own rate and nothing beyond.
+    /// The service's rate and nothing beyond.
     fn default() -> Self {
         Self {
             factor: 1.0,
@@ -21,17 +21,17 @@
     }
 }
 
-/// What a service says of its cold servers.
+/// Specification of a service's cold servers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdSpec {
     /// How long a server is cold after a start.
     pub cold_duration: Duration,
-    /// Requests a second that a cold server takes.
+    /// Requests per second that a cold server accepts.
     pub requests_per_s: f64,
 }
 
 impl ColdSpec {
-    /// What holds of the service's cold servers under the operators' bounds.
+    /// The limits in force under the operators' allowance.
     #[must_use]
     pub fn with_allowance(&self, bounds: ColdAllowance) -> ColdLimits {
         ColdLimits {
@@ -41,7 +41,7 @@
     }
 }
 
-/// What holds of a service's cold servers.
+/// Limits in force for a service's cold servers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdLimits {
     /// How long a server is cold after a start.
--- a/crates/core/src/process/cold_times.rs
+++ b/crates/core/src/process/cold_times.rs
@@ -6,56 +6,58 @@
 use super::cold_limits::ColdLimits;
 use crate::id::ServerId;
 
-/// What servers tell of it, and what is assumed of those that do not.
+/// Reported cold times, and assumed ones for servers that report none.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ColdTimes {
-    /// Until when, by a server's own word.
-    told_until: BTreeMap<ServerId, Duration>,
-    /// When servers came that do not say.
-    came_untold: BTreeMap<ServerId, Duration>,
+    /// Until when servers are cold by their own report.
+    reported_until: BTreeMap<ServerId, Duration>,
+    /// When servers appeared that do not report it.
+    unreported_since: BTreeMap<ServerId, Duration>,
 }
 
 impl ColdTimes {
-    /// Takes an entry of a server, which may have come since the last whole list.
-    pub(super) fn told(
+    /// Records a server's listing; `has_joined` tells that the server is new since the last
+    /// complete list.
+    pub(super) fn record(
         &mut self,
         id: &ServerId,
         left: Option<Duration>,
-        has_come: bool,
+        has_joined: bool,
         now: Duration,
     ) {
         match left {
             Some(left) if !left.is_zero() => {
-                self.told_until.insert(id.clone(), now + left);
+                self.reported_until.insert(id.clone(), now + left);
             }
-            Some(_) => self.forget(id),
-            None if has_come => {
-                self.came_untold.insert(id.clone(), now);
+            Some(_) => self.remove(id),
+            None if has_joined => {
+                self.unreported_since.insert(id.clone(), now);
             }
             None => {}
         }
     }
 
-    /// When a server is cold no longer, by its own word and by its zone's return.
+    /// When a server stops being cold, by its own report and by the time its zone was taken back.
     ///
-    /// Guards against servers that became cold while nothing was sent to them: their entries say so
-    /// a heartbeat later, and until then a full share of the service's requests would crash them.
+    /// Guards against servers that became cold while nothing was sent to them: their listings
+    /// report it one heartbeat later, and until then a full share of the service's requests would
+    /// crash them.
     pub(super) fn until(
         &self,
         id: &ServerId,
-        terms: ColdLimits,
+        limits: ColdLimits,
         taken_back_at: Option<Duration>,
     ) -> Option<Duration> {
-        let told = self.told_until.get(id).copied();
-        let came_at = self.came_untold.get(id).copied();
-        let assumed = came_at
+        let record = self.reported_until.get(id).copied();
+        let joined_at = self.unreported_since.get(id).copied();
+        let assumed_until = joined_at
             .max(taken_back_at)
-            .map(|at| at + terms.cold_duration);
-        told.max(assumed)
+            .map(|at| at + limits.cold_duration);
+        record.max(assumed_until)
     }
 
-    pub(super) fn forget(&mut self, id: &ServerId) {
-        self.told_until.remove(id);
-        self.came_untold.remove(id);
+    pub(super) fn remove(&mut self, id: &ServerId) {
+        self.reported_until.remove(id);
+        self.unreported_since.remove(id);
     }
 }
--- a/crates/core/src/process/cost_key.rs
+++ b/crates/core/src/process/cost_key.rs
@@ -1,15 +1,15 @@
-//! Whose cost, at which stage.
+//! Key of a cost total.
 
 use std::fmt;
 
 use crate::id::OrganisationId;
 
-/// Names one running total.
+/// Identifies one running total.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CostKey {
-    /// Organisation that the work was for.
+    /// Organisation for which the work was done.
     pub organisation: OrganisationId,
-    /// Stage that did it.
+    /// Stage that did the work.
     pub stage: String,
 }
 
--- a/crates/core/src/process/cost_totals.rs
+++ b/crates/core/src/process/cost_totals.rs
@@ -4,7 +4,7 @@
 
 use crate::wire::StageCost;
 
-/// Cost since the process started, useful and wasted apart.
+/// Cost since the process started, separated into useful and wasted work.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CostTotals {
     /// Attempts whose result was used.
--- a/crates/core/src/process/cost_tracker.rs
+++ b/crates/core/src/process/cost_tracker.rs
@@ -1,8 +1,8 @@
 //! Cost by stage and organisation.
 //!
-//! A process keeps absolute totals of its own incarnation and writes them under keys that hold
-//! that incarnation. A write whose answer was lost may so be repeated: the row says the same. A
-//! restarted process writes new rows and does not touch those of its former life.
+//! A process keeps absolute totals of its own incarnation and writes them under keys that contain
+//! that incarnation. So a write whose answer was lost may be repeated: the row stays the same. A
+//! restarted process writes new rows and does not touch those of its earlier incarnation.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 const KEY_PREFIX: &str = "cost";
 /// Parts of such a key: prefix, host, incarnation, organisation, stage.
 const KEY_PARTS: usize = 5;
-/// Position of the organisation among them.
+/// Position of the organisation among the parts.
 const ORGANISATION_PART: usize = 3;
 
 /// Running totals of one process.
@@ -26,10 +26,10 @@
 /// use amaranthscale_core::process::CostTracker;
 /// use amaranthscale_core::wire::StageCost;
 ///
-/// let mut book = CostTracker::new("host-1".parse().unwrap(), Incarnation::new(9));
+/// let mut tracker = CostTracker::new("host-1".parse().unwrap(), Incarnation::new(9));
 /// let cost = StageCost { queue_ms: 5, server_ms: 80, tokens: 0 };
-/// book.record(&"delta-basin".parse().unwrap(), "rerank", &cost, true);
-/// let row = book.rows().next().unwrap();
+/// tracker.record(&"delta-basin".parse().unwrap(), "rerank", &cost, true);
+/// let row = tracker.rows().next().unwrap();
 /// assert_eq!(row.key, "cost/host-1/9/delta-basin/rerank");
 /// ```
 #[derive(Debug)]
@@ -40,7 +40,7 @@
 }
 
 impl CostTracker {
-    /// An empty book of one incarnation.
+    /// An empty tracker of one incarnation.
     #[must_use]
     pub const fn new(host: HostId, incarnation: Incarnation) -> Self {
         Self {
@@ -70,7 +70,7 @@
         self.totals.iter()
     }
 
-    /// Rows for the platform's table; writing one twice changes nothing.
+    /// Rows for the platform's table; writing a row twice has no further effect.
     ///
     /// # Panics
     ///
@@ -85,7 +85,7 @@
 
 /// Sums the rows of all processes by organisation.
 ///
-/// A row that was read twice counts once, in its highest version; other rows are passed over.
+/// A row that was read twice counts once, in its highest version; other rows are ignored.
 pub fn sum_by_organisation<'a>(
     rows: impl IntoIterator<Item = &'a Row>,
 ) -> BTreeMap<OrganisationId, CostTotals> {
@@ -98,14 +98,14 @@
     }
     let mut sums: BTreeMap<OrganisationId, CostTotals> = BTreeMap::new();
     for (_, row) in latest.into_values() {
-        if let Some((organisation, totals)) = parse(row) {
+        if let Some((organisation, totals)) = parse_row(row) {
             sums.entry(organisation).or_default().add_totals(&totals);
         }
     }
     sums
 }
 
-fn parse(row: &Row) -> Option<(OrganisationId, CostTotals)> {
+fn parse_row(row: &Row) -> Option<(OrganisationId, CostTotals)> {
     let parts: Vec<_> = row.key.splitn(KEY_PARTS, '/').collect();
     if parts.len() != KEY_PARTS || parts[0] != KEY_PREFIX {
         return None;
--- a/crates/core/src/process/count.rs
+++ b/crates/core/src/process/count.rs
@@ -1,6 +1,6 @@
-//! Counts as numbers to reckon with.
+//! Conversion of counts for floating-point arithmetic.
 
-/// A count as a floating-point number; the largest that has one exactly stands for all beyond it.
+/// A count as a floating-point number; counts above `u32::MAX` become `u32::MAX`.
 pub(crate) fn as_f64(count: impl TryInto<u32>) -> f64 {
     f64::from(count.try_into().unwrap_or(u32::MAX))
 }
--- a/crates/core/src/process/fair_queue.rs
+++ b/crates/core/src/process/fair_queue.rs
@@ -1,8 +1,8 @@
-//! The queue of a sidecar, before its backend server.
+//! The queue of a sidecar, in front of its backend server.
 //!
-//! Paid work goes before trial work, and some slots are out of reach for trials, so that a paid
-//! attempt need not wait for a long trial to end. Within a class, organisations share by weight.
-//! The queue is bounded: what would wait too long is refused while its caller can still ask
+//! Paid work goes before trial work, and some slots are reserved for it, so that a paid attempt
+//! need not wait for a long trial to end. Within a class, organisations share by weight. The queue
+//! is bounded: an attempt that would wait too long is refused while its caller can still ask
 //! elsewhere.
 
 use std::collections::BTreeMap;
@@ -13,10 +13,10 @@
 use crate::id::AttemptId;
 use crate::unit::{Class, SidecarClock};
 
-/// Shortest time to come back after a refusal; below it, callers would come back in step.
+/// Shortest retry delay after a refusal; below it, callers would retry in step.
 const MIN_RETRY_AFTER_MS: u64 = 50;
 
-/// Attempts that wait for a slot of one backend server, and those that hold one.
+/// Attempts that wait for a slot of one backend server, and those that occupy one.
 ///
 /// # Examples
 ///
@@ -69,32 +69,33 @@
         }
     }
 
-    /// Takes an attempt in, or says why not.
+    /// Queues an attempt, or refuses it with a reason.
     ///
     /// A paid arrival at a full queue displaces the newest trial attempt; see
     /// [`take_displaced`](Self::take_displaced).
     pub fn push(&mut self, mut item: QueuedAttempt, now: SidecarClock) -> Result<(), Refusal> {
-        if self.knows(&item.attempt) {
+        if self.contains(&item.attempt) {
             return Err(self.refusal(ResultCode::DuplicateAttempt, &item));
         }
-        // The expected time may be one of before a freeze or a slow spell. A server that refused on
-        // it while it has a free slot would never measure that it is well again.
+        // The expected time may stem from before a freeze or a slow period. If a server with a free
+        // slot refused because of it, it would never measure that it has recovered.
         if self.can_start_at_once(item.class) {
-            item.expected_ms = item.expected_ms.min(left_ms(&item, now));
+            item.expected_ms = item.expected_ms.min(remaining_ms(&item, now));
         }
-        if item.expiry <= now || !item.can_make_it(now) {
+        if item.expiry <= now || !item.can_meet_expiry(now) {
             return Err(self.refusal(ResultCode::DeadlineUnreachable, &item));
         }
-        self.make_room(&item)?;
-        self.share_mut(item.class).push(item);
+        self.displace_if_full(&item)?;
+        self.class_share_mut(item.class).push(item);
         Ok(())
     }
 
-    /// Takes the next attempt to run, if a slot is free for it.
+    /// Removes and returns the next attempt to run, if a slot is free for it.
     ///
-    /// What can no longer end in time is passed over and waits for [`expired`](Self::expired).
+    /// Attempts that can no longer end in time are skipped and collected for
+    /// [`expired`](Self::expired).
     pub fn pop(&mut self, now: SidecarClock) -> Option<QueuedAttempt> {
-        self.set_late_aside(now);
+        self.collect_late(now);
         if self.running() >= self.limits.slots {
             return None;
         }
@@ -108,26 +109,26 @@
         self.running.remove(&attempt);
     }
 
-    /// Takes a revoked attempt out; false if it does not wait here.
+    /// Removes a revoked attempt; false if it is not queued.
     pub fn remove(&mut self, attempt: &AttemptId) -> bool {
         self.paid
-            .take(attempt)
-            .or_else(|| self.trial.take(attempt))
+            .remove(attempt)
+            .or_else(|| self.trial.remove(attempt))
             .is_some()
     }
 
-    /// Takes out all attempts that could no longer end in time.
+    /// Removes and returns all attempts that can no longer end in time.
     pub fn expired(&mut self, now: SidecarClock) -> Vec<QueuedAttempt> {
-        self.set_late_aside(now);
+        self.collect_late(now);
         std::mem::take(&mut self.late)
     }
 
-    /// Takes out the trial attempts that gave way to paid ones.
+    /// Removes and returns the trial attempts that were displaced by paid ones.
     pub fn take_displaced(&mut self) -> Vec<QueuedAttempt> {
         std::mem::take(&mut self.displaced)
     }
 
-    /// Attempts of a class that wait.
+    /// Number of waiting attempts of a class.
     #[must_use]
     pub fn len(&self, class: Class) -> usize {
         match class {
@@ -142,13 +143,13 @@
         self.paid.len() + self.trial.len() == 0
     }
 
-    /// Attempts that hold a slot.
+    /// Number of attempts that occupy a slot.
     #[must_use]
     pub fn running(&self) -> u32 {
         u32::try_from(self.running.len()).unwrap_or(u32::MAX)
     }
 
-    /// Attempts that may hold a slot at once.
+    /// Number of attempts that may occupy a slot at once.
     #[must_use]
     pub const fn slots(&self) -> u32 {
         self.limits.slots
@@ -159,14 +160,14 @@
         self.limits.slots = slots;
     }
 
-    const fn share_mut(&mut self, class: Class) -> &mut FairShare {
+    const fn class_share_mut(&mut self, class: Class) -> &mut FairShare {
         match class {
             Class::Paid => &mut self.paid,
             Class::Trial => &mut self.trial,
         }
     }
 
-    fn knows(&self, attempt: &AttemptId) -> bool {
+    fn contains(&self, attempt: &AttemptId) -> bool {
         self.running.contains_key(attempt)
             || self.paid.contains(attempt)
             || self.trial.contains(attempt)
@@ -178,12 +179,13 @@
         self.is_empty() && has_slot && is_within_reserve
     }
 
-    fn make_room(&mut self, arrival: &QueuedAttempt) -> Result<(), Refusal> {
+    fn displace_if_full(&mut self, arrival: &QueuedAttempt) -> Result<(), Refusal> {
         if self.paid.len() + self.trial.len() < self.limits.capacity {
             return Ok(());
         }
-        // A trial surge fills the queue before paid work arrives. Without displacement that paid
-        // work would be refused although it goes first; a waiting trial has not run, so it can go.
+        // A burst of trials fills the queue before paid work arrives. Without displacement that
+        // paid work would be refused although it has priority; a waiting trial has not run, so it
+        // can be refused instead.
         let newest_trial = match arrival.class {
             Class::Paid => self.trial.pop_newest(),
             Class::Trial => None,
@@ -207,7 +209,8 @@
         trials < self.trial_slots()
     }
 
-    /// A server with few slots must still run trials when it is idle, so one is always theirs.
+    /// A server with few slots must still run trials when it is idle, so at least one slot is
+    /// available to them.
     fn trial_slots(&self) -> usize {
         let slots = self
             .limits
@@ -216,7 +219,7 @@
         usize::try_from(slots.max(1)).unwrap_or(usize::MAX)
     }
 
-    fn set_late_aside(&mut self, now: SidecarClock) {
+    fn collect_late(&mut self, now: SidecarClock) {
         self.late.extend(self.paid.take_late(now));
         self.late.extend(self.trial.take_late(now));
     }
@@ -228,7 +231,7 @@
     }
 }
 
-/// Time until an attempt's expiry; 0 if that has passed, so that it is still refused.
-fn left_ms(item: &QueuedAttempt, now: SidecarClock) -> u64 {
+/// Remaining time to an attempt's expiry; 0 if that has passed, so that it is still refused.
+fn remaining_ms(item: &QueuedAttempt, now: SidecarClock) -> u64 {
     item.expiry.as_millis().saturating_sub(now.as_millis())
 }
--- a/crates/core/src/process/fair_queue_limits.rs
+++ b/crates/core/src/process/fair_queue_limits.rs
@@ -1,11 +1,11 @@
-//! Sizes of a sidecar's queue.
+//! Limits of a sidecar's queue.
 
-/// Attempts that one backend server may hold, queued and running.
+/// Numbers of attempts at one backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FairQueueLimits {
-    /// Attempts that the backend server takes at once.
+    /// Attempts that the backend server runs at once.
     pub slots: u32,
-    /// Attempts that may wait.
+    /// Attempts that may be queued.
     pub capacity: usize,
     /// Slots that trial work may not take.
     pub paid_reserve_slots: u32,
--- a/crates/core/src/process/first_event_estimator.rs
+++ b/crates/core/src/process/first_event_estimator.rs
@@ -1,20 +1,21 @@
-//! How long engines take to the first event of an answer, by the size of its prompt.
+//! Estimates the time to an engine's first event from the size of the prompt.
 //!
-//! A prompt is read before its first event, so a large one needs its pieces earlier. What a token
-//! takes is told by no engine and differs by service and load, so it is learnt from what came: a
-//! line through the last answers, by least squares, with older ones fading out.
+//! An engine reads the prompt before its first event, so a large prompt needs its pieces earlier.
+//! Engines do not report the time per token, and it differs by service and load, so it is learnt
+//! from the answers: a least-squares line through recent samples with exponentially decaying
+//! weights.
 
 use std::time::Duration;
 
 use super::count::as_f64;
 
-/// Part of its weight that a sample keeps with each later one: about the last two hundred count, some
-/// seconds of an entry's load.
-const FADING: f64 = 0.995;
-/// Weight of samples from which the line is used: below it, single answers would turn it.
-const LEAST_WEIGHT: f64 = 20.0;
+/// Factor by which a sample's weight decays with each later one: about the last two hundred count,
+/// some seconds of an entry's load.
+const DECAY: f64 = 0.995;
+/// Total weight from which the line is used: below it, single answers would change it too much.
+const MIN_WEIGHT: f64 = 20.0;
 
-/// Times to the first event, as a line over the tokens of the prompt.
+/// Time to the first event as a linear function of the prompt's tokens.
 ///
 /// # Examples
 ///
@@ -41,7 +42,7 @@
 }
 
 impl FirstEventEstimator {
-    /// Takes the time of an answer from the send to its first event.
+    /// Records the time of an answer from the send to its first event.
     pub fn record(&mut self, prompt_tokens: u64, time: Duration) {
         let (tokens, seconds) = (as_f64(prompt_tokens), time.as_secs_f64());
         let sums = [
@@ -52,22 +53,22 @@
             (&mut self.tokens_seconds, tokens * seconds),
         ];
         for (sum, sample) in sums {
-            *sum = *sum * FADING + sample;
+            *sum = *sum * DECAY + sample;
         }
     }
 
-    /// Time that a prompt of so many tokens is likely to take; none before enough has come.
+    /// Expected time for a prompt; none until enough samples are recorded.
     #[must_use]
     pub fn expected(&self, prompt_tokens: u64) -> Option<Duration> {
-        if self.weight < LEAST_WEIGHT {
+        if self.weight < MIN_WEIGHT {
             return None;
         }
         let (mean_tokens, mean_seconds) = (self.tokens / self.weight, self.seconds / self.weight);
-        let spread = self.tokens_squared / self.weight - mean_tokens * mean_tokens;
-        let together = self.tokens_seconds / self.weight - mean_tokens * mean_seconds;
-        // Prompts of one size tell nothing of others, and a larger one is never read faster.
-        let slope = if spread > 1.0 {
-            (together / spread).max(0.0)
+        let variance = self.tokens_squared / self.weight - mean_tokens * mean_tokens;
+        let covariance = self.tokens_seconds / self.weight - mean_tokens * mean_seconds;
+        // Prompts of equal size give no slope, and a larger prompt is never read faster.
+        let slope = if variance > 1.0 {
+            (covariance / variance).max(0.0)
         } else {
             0.0
         };
--- a/crates/core/src/process/freshness.rs
+++ b/crates/core/src/process/freshness.rs
@@ -1,13 +1,13 @@
-//! How old this process's knowledge of the store is.
+//! Age of this process's knowledge of the store.
 //!
 //! Every answer of the store carries the store's own clock. The smallest difference between that
-//! clock and ours at an answer's arrival is the store's clock plus the shortest way, so each later
-//! answer tells when the store gave it, however long it was on the way. Ages are taken from a
-//! clock that goes on while the machine is suspended.
+//! clock and the local clock at an answer's arrival is the clocks' offset plus the shortest
+//! latency, so it dates each later answer, however long its latency. Ages are measured by a clock
+//! that keeps running while the host is suspended.
 
 use std::time::Duration;
 
-/// Age of what is known from the store.
+/// Age of the information from the store.
 ///
 /// # Examples
 ///
@@ -18,40 +18,41 @@
 /// let mut freshness = Freshness::default();
 /// assert_eq!(freshness.age(Duration::from_secs(9)), None);
 /// freshness.record_answer(Duration::from_secs(100), Duration::from_secs(10));
-/// // An answer that was two seconds on its way is two seconds old when it comes.
+/// // An answer with a latency of two seconds is two seconds old when it arrives.
 /// freshness.record_answer(Duration::from_secs(101), Duration::from_secs(13));
 /// assert_eq!(freshness.age(Duration::from_secs(13)), Some(Duration::from_secs(2)));
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Freshness {
-    ahead_ms: Option<i128>,
-    known_at: Option<Duration>,
+    offset_ms: Option<i128>,
+    newest_at: Option<Duration>,
 }
 
 impl Freshness {
-    /// Takes the store's clock from an answer that has just arrived.
+    /// Records the store's clock from an answer that has just arrived.
     pub fn record_answer(&mut self, store_clock: Duration, now: Duration) {
         let difference = signed_ms(now) - signed_ms(store_clock);
-        let ahead_ms = self
-            .ahead_ms
-            .map_or(difference, |ahead| ahead.min(difference));
-        self.ahead_ms = Some(ahead_ms);
-        let given_at_ms = u64::try_from(signed_ms(store_clock) + ahead_ms).unwrap_or(0);
-        let given_at = Duration::from_millis(given_at_ms);
-        self.known_at = self.known_at.max(Some(given_at));
+        let offset_ms = self
+            .offset_ms
+            .map_or(difference, |offset| offset.min(difference));
+        self.offset_ms = Some(offset_ms);
+        let sent_at_ms = u64::try_from(signed_ms(store_clock) + offset_ms).unwrap_or(0);
+        let sent_at = Duration::from_millis(sent_at_ms);
+        self.newest_at = self.newest_at.max(Some(sent_at));
     }
 
-    /// Time since the store's clock showed a time; none without an answer.
+    /// Time since the store's clock showed the given time; none before the first answer.
     #[must_use]
     pub fn age_of(&self, store_clock: Duration, now: Duration) -> Option<Duration> {
-        let age_ms = signed_ms(now) - signed_ms(store_clock) - self.ahead_ms?;
+        let age_ms = signed_ms(now) - signed_ms(store_clock) - self.offset_ms?;
         Some(Duration::from_millis(u64::try_from(age_ms).unwrap_or(0)))
     }
 
-    /// Time since the newest answer was given; none without an answer.
+    /// Time since the newest answer was sent; none before the first answer.
     #[must_use]
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        self.known_at.map(|known_at| now.saturating_sub(known_at))
+        self.newest_at
+            .map(|newest_at| now.saturating_sub(newest_at))
     }
 }
 
--- a/crates/core/src/process/hedge_policy.rs
+++ b/crates/core/src/process/hedge_policy.rs
@@ -1,16 +1,16 @@
-//! When to send a second attempt beside a slow first one.
+//! Decides when to send a second attempt in parallel to a slow first one.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Samples kept; at a few requests a second this spans about a minute.
+/// Number of samples; at a few requests a second they span about a minute.
 const WINDOW: usize = 256;
-/// Samples below which a high percentile says nothing.
+/// Number of samples below which a high percentile is meaningless.
 const MIN_SAMPLES: usize = 20;
-/// The whole, in percent.
+/// One hundred percent.
 const PERCENT: usize = 100;
 
-/// Delay of a hedge, from the measured times of one service.
+/// Hedge delay, from the measured times of one service.
 ///
 /// # Examples
 ///
@@ -33,7 +33,7 @@
 }
 
 impl HedgePolicy {
-    /// Hedges what takes longer than this percentile.
+    /// Hedges attempts that take longer than this percentile.
     #[must_use]
     pub fn new(percentile: u8) -> Self {
         Self {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Takes in how long an attempt took.
+    /// Records how long an attempt took.
     pub fn record(&mut self, elapsed: Duration) {
         if self.samples.len() == WINDOW {
             self.samples.pop_front();
@@ -50,7 +50,7 @@
         self.samples.push_back(elapsed);
     }
 
-    /// Time to wait before a hedge; none while too little was measured.
+    /// Time to wait before a hedge; none until there are enough samples.
     #[must_use]
     pub fn delay(&self) -> Option<Duration> {
         if self.samples.len() < MIN_SAMPLES {
--- a/crates/core/src/process/host_track.rs
+++ b/crates/core/src/process/host_tracker.rs
@@ -1,4 +1,4 @@
-//! What a router knows of one host.
+//! Load and health of one host, as seen by a router.
 
 use std::time::Duration;
 
@@ -7,29 +7,30 @@
 use crate::unit::{Class, SidecarClock};
 use crate::wire::{HostRecord, HostState, LoadReport, Stamp};
 
-/// Part of each new sample in the smoothed time; about the last ten samples count.
-const SAMPLE_SHARE: f64 = 0.2;
-/// Samples below which a smoothed time says nothing.
+/// Weight of each new sample in the smoothed time; about the last ten samples count.
+const SAMPLE_WEIGHT: f64 = 0.2;
+/// Number of samples below which the smoothed time is not used.
 const MIN_SAMPLES: u32 = 5;
-/// Added cost of a host that refuses all, in units of an idle one: above any queue worth joining.
+/// Added cost of a host that refuses everything, in multiples of an idle one: above any queue worth
+/// joining.
 const REFUSAL_COST: f64 = 10.0;
-/// Reported load per slot above which a report is taken for wrong.
+/// Reported load per slot above which a report is considered wrong.
 const MAX_REPORTED_LOAD: u32 = 16;
 
-/// Whether a host takes work from this entry.
+/// Whether this entry sends work to a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Health {
-    /// Takes work.
+    /// Gets work.
     Healthy,
-    /// Takes none until a time.
-    Ejected { until: Duration, last: Duration },
-    /// Has one request that decides.
-    Probing { since: Duration, last: Duration },
+    /// Gets no work until a time.
+    Ejected { until: Duration, duration: Duration },
+    /// Gets one request whose end decides.
+    Probing { since: Duration, duration: Duration },
 }
 
 /// The last stamp of a host.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Seen {
+pub(super) struct LastStamp {
     pub(super) incarnation: Incarnation,
     pub(super) clock: SidecarClock,
     pub(super) at: Duration,
@@ -37,11 +38,11 @@
     in_flight: u32,
 }
 
-/// One host with all that was seen of it.
+/// All state of one host.
 #[derive(Debug)]
-pub(super) struct HostTrack {
+pub(super) struct HostTracker {
     pub(super) record: HostRecord,
-    pub(super) seen: Option<Seen>,
+    pub(super) last_stamp: Option<LastStamp>,
     pub(super) health: Health,
     in_flight: u32,
     is_leaving: bool,
@@ -55,11 +56,11 @@
     refused_at: Duration,
 }
 
-impl HostTrack {
+impl HostTracker {
     pub(super) const fn new(record: HostRecord, now: Duration) -> Self {
         Self {
             record,
-            seen: None,
+            last_stamp: None,
             health: Health::Healthy,
             in_flight: 0,
             is_leaving: false,
@@ -74,17 +75,19 @@
         }
     }
 
-    /// Takes in a stamp; one older than the last is passed over.
+    /// Records a stamp, unless it is older than the last one.
     pub(super) fn observe(&mut self, stamp: &Stamp, now: Duration) {
-        match self.seen {
-            Some(seen) if seen.incarnation != stamp.incarnation => self.forget_former_life(),
-            // Answers overtake one another; an old one must not bring an old load back.
-            Some(seen) if seen.clock > stamp.clock => return,
+        match self.last_stamp {
+            Some(last_stamp) if last_stamp.incarnation != stamp.incarnation => {
+                self.reset_after_restart();
+            }
+            // Answers may arrive out of order; an old one must not restore an old load.
+            Some(last_stamp) if last_stamp.clock > stamp.clock => return,
             _ => {}
         }
-        self.note_answer(now);
+        self.record_answer(now);
         self.is_leaving |= stamp.is_leaving;
-        self.seen = Some(Seen {
+        self.last_stamp = Some(LastStamp {
             incarnation: stamp.incarnation,
             clock: stamp.clock,
             at: now,
@@ -97,7 +100,7 @@
         if self.in_flight == 0 {
             self.busy_since = now;
         }
-        // One attempt at a time looks whether a lost host is back.
+        // Only one attempt at a time tests whether an unresponsive host answers again.
         if self.lost_at.is_some() {
             self.lost_at = Some(now);
         }
@@ -108,18 +111,18 @@
         self.in_flight = self.in_flight.saturating_sub(1);
         match end {
             AttemptEnd::Complete => {
-                self.note_answer(now);
-                self.refused_share -= self.refused_share * SAMPLE_SHARE;
+                self.record_answer(now);
+                self.refused_share -= self.refused_share * SAMPLE_WEIGHT;
                 self.failures = 0;
-                self.sample(elapsed);
+                self.record_time(elapsed);
             }
             AttemptEnd::Refused(_) => {
-                self.note_answer(now);
-                self.refused_share += (1.0 - self.refused_share) * SAMPLE_SHARE;
+                self.record_answer(now);
+                self.refused_share += (1.0 - self.refused_share) * SAMPLE_WEIGHT;
                 self.refused_at = now;
             }
             AttemptEnd::Failed => {
-                self.note_answer(now);
+                self.record_answer(now);
                 self.failures += 1;
             }
             AttemptEnd::TimedOut => {
@@ -130,36 +133,38 @@
         }
     }
 
-    /// Whether the host may get work at all.
+    /// Whether the host is about to leave and gets no work.
     pub(super) fn is_leaving(&self) -> bool {
         self.is_leaving || self.record.state == HostState::Leaving
     }
 
-    pub(super) const fn is_out(&self) -> bool {
+    pub(super) const fn is_ejected(&self) -> bool {
         !matches!(self.health, Health::Healthy)
     }
 
-    /// Whether an ejection has run out, so that one request may try the host.
+    /// Whether an ejection has ended, so that one request may probe the host.
     pub(super) fn is_due_for_probe(&self, now: Duration, settings: &RouterSettings) -> bool {
         match self.health {
             Health::Healthy => false,
             Health::Ejected { until, .. } => until <= now,
-            // A probe that was cancelled, or whose end was lost, must not shut the host out.
+            // A probe that was cancelled, or whose end was lost, must not exclude the host for
+            // ever.
             Health::Probing { since, .. } => since + settings.max_ejection <= now,
         }
     }
 
-    /// Whether the host does not answer: a connection was lost, or nothing has come for long.
+    /// Whether the host does not respond: a connection was lost, or nothing has arrived for long.
     ///
-    /// A frozen host, or one whose availability zone is gone, keeps its connections open, and work
-    /// sent there is lost. This is no ejection and has no cap, as such a host adds no capacity;
-    /// where all hosts are silent, the router uses them all.
-    pub(super) fn is_silent(&self, now: Duration, settings: &RouterSettings) -> bool {
+    /// A frozen host, or one whose availability zone has failed, keeps its connections open, and
+    /// work sent there is lost. This is not an ejection and has no cap, as such a host adds no
+    /// capacity; if no host responds, the router uses all of them.
+    pub(super) fn is_unresponsive(&self, now: Duration, settings: &RouterSettings) -> bool {
         let is_lost = self
             .lost_at
-            .is_some_and(|at| now.saturating_sub(at) < settings.silence);
+            .is_some_and(|at| now.saturating_sub(at) < settings.unresponsive_after);
         let since = self.answered_at.max(self.busy_since);
-        let is_stuck = self.in_flight > 0 && now.saturating_sub(since) > settings.silence;
+        let is_stuck =
+            self.in_flight > 0 && now.saturating_sub(since) > settings.unresponsive_after;
         is_lost || is_stuck
     }
 
@@ -168,75 +173,84 @@
     }
 
     pub(super) const fn eject(&mut self, settings: &RouterSettings, now: Duration) {
-        let last = match self.health {
+        let duration = match self.health {
             Health::Healthy => settings.ejection,
-            Health::Ejected { last, .. } | Health::Probing { last, .. } => last.saturating_mul(2),
+            Health::Ejected { duration, .. } | Health::Probing { duration, .. } => {
+                duration.saturating_mul(2)
+            }
         };
-        let last = if last.as_nanos() > settings.max_ejection.as_nanos() {
+        let duration = if duration.as_nanos() > settings.max_ejection.as_nanos() {
             settings.max_ejection
         } else {
-            last
+            duration
         };
         self.health = Health::Ejected {
-            until: now.saturating_add(last),
-            last,
+            until: now.saturating_add(duration),
+            duration,
         };
     }
 
     pub(super) const fn probe(&mut self, now: Duration) {
-        if let Health::Ejected { last, .. } | Health::Probing { last, .. } = self.health {
-            self.health = Health::Probing { since: now, last };
+        if let Health::Ejected { duration, .. } | Health::Probing { duration, .. } = self.health {
+            self.health = Health::Probing {
+                since: now,
+                duration,
+            };
         }
     }
 
-    /// Lets the next request be the probe.
-    pub(super) const fn await_probe(&mut self, now: Duration) {
-        if let Health::Probing { last, .. } = self.health {
-            self.health = Health::Ejected { until: now, last };
+    /// Makes the next request the probe.
+    pub(super) const fn reschedule_probe(&mut self, now: Duration) {
+        if let Health::Probing { duration, .. } = self.health {
+            self.health = Health::Ejected {
+                until: now,
+                duration,
+            };
         }
     }
 
-    /// Takes the host back, with a clean record.
+    /// Readmits the host and resets its failures and samples.
     pub(super) const fn readmit(&mut self) {
         self.health = Health::Healthy;
         self.failures = 0;
         self.samples = 0;
     }
 
-    /// Smoothed time of complete answers, once there are enough.
+    /// Smoothed time of complete answers, once there are enough samples.
     pub(super) fn smoothed_ms(&self) -> Option<f64> {
         (self.samples >= MIN_SAMPLES).then_some(self.smoothed_ms)
     }
 
-    /// Factor on the cost of a host that has refused of late.
+    /// Cost factor of a host that has recently refused work.
     ///
-    /// A host that refuses everything at once looks idle, and would draw more and more work. The
-    /// factor fades, so that the host is tried again when it may have recovered.
+    /// A host that refuses everything at once looks idle, and would attract more and more work. The
+    /// factor decays, so that the host is tried again when it may have recovered.
     pub(super) fn refusal_factor(&self, now: Duration, settings: &RouterSettings) -> f64 {
         let age = now.saturating_sub(self.refused_at).as_secs_f64();
-        let faded = (-age / settings.report_half_life.as_secs_f64()).exp2();
-        1.0 + REFUSAL_COST * self.refused_share * faded
+        let decay = (-age / settings.report_half_life.as_secs_f64()).exp2();
+        1.0 + REFUSAL_COST * self.refused_share * decay
     }
 
-    /// Work at the host per slot, as far as it is known.
+    /// Known work at the host per slot.
     pub(super) fn load_per_slot(&self, now: Duration, settings: &RouterSettings) -> f64 {
         let others = self.others_load(now, settings);
         (f64::from(self.in_flight) + others) / f64::from(self.slots())
     }
 
-    /// Expected time of a stage here.
+    /// Expected time of a stage at this host.
     pub(super) fn estimate(
         &self,
         class: Class,
         now: Duration,
         settings: &RouterSettings,
     ) -> Option<StageEstimate> {
-        let seen = self.seen?;
-        let grown = self.in_flight.saturating_sub(seen.in_flight);
-        let reported = f64::from(waiting_before(class, &seen.load)) * self.freshness(now, settings);
-        let before = reported + f64::from(grown) + 1.0 - f64::from(self.slots());
-        let service_ms = u64::from(seen.load.service_ms);
-        let turns = before.max(0.0) / f64::from(self.slots());
+        let last_stamp = self.last_stamp?;
+        let added_in_flight = self.in_flight.saturating_sub(last_stamp.in_flight);
+        let reported =
+            f64::from(attempts_ahead(class, &last_stamp.load)) * self.report_weight(now, settings);
+        let ahead = reported + f64::from(added_in_flight) + 1.0 - f64::from(self.slots());
+        let service_ms = u64::from(last_stamp.load.service_ms);
+        let turns = ahead.max(0.0) / f64::from(self.slots());
         let queue = Duration::from_millis(service_ms).mul_f64(turns);
         let queue_ms = u64::try_from(queue.as_millis()).unwrap_or(u64::MAX);
         Some(StageEstimate {
@@ -246,50 +260,55 @@
     }
 
     fn slots(&self) -> u32 {
-        self.seen.map_or(1, |seen| seen.load.slots.max(1))
+        self.last_stamp
+            .map_or(1, |last_stamp| last_stamp.load.slots.max(1))
     }
 
-    /// Load that other entries bring, from the last report.
+    /// Load from other entries, by the last report.
     ///
-    /// A wrong report, or one from before a crowd left, would keep a host empty or draw everyone
-    /// to it. So it is bounded, and fades until only the entry's own count is left.
+    /// A wrong report, or one from before a burst ended, would keep a host empty or attract all
+    /// entries to it. So it is bounded, and decays until only the entry's own count is left.
     fn others_load(&self, now: Duration, settings: &RouterSettings) -> f64 {
-        let Some(seen) = self.seen else { return 0.0 };
-        let reported = waiting_before(Class::Trial, &seen.load);
+        let Some(last_stamp) = self.last_stamp else {
+            return 0.0;
+        };
+        let reported = attempts_ahead(Class::Trial, &last_stamp.load);
         let bounded = reported.min(self.slots().saturating_mul(MAX_REPORTED_LOAD));
-        let others = bounded.saturating_sub(seen.in_flight);
-        f64::from(others) * self.freshness(now, settings)
+        let others = bounded.saturating_sub(last_stamp.in_flight);
+        f64::from(others) * self.report_weight(now, settings)
     }
 
-    fn freshness(&self, now: Duration, settings: &RouterSettings) -> f64 {
-        let Some(seen) = self.seen else { return 0.0 };
-        let age = now.saturating_sub(seen.at).as_secs_f64();
+    fn report_weight(&self, now: Duration, settings: &RouterSettings) -> f64 {
+        let Some(last_stamp) = self.last_stamp else {
+            return 0.0;
+        };
+        let age = now.saturating_sub(last_stamp.at).as_secs_f64();
         (-age / settings.report_half_life.as_secs_f64()).exp2()
     }
 
-    const fn note_answer(&mut self, now: Duration) {
+    const fn record_answer(&mut self, now: Duration) {
         self.answered_at = now;
         self.lost_at = None;
     }
 
-    fn sample(&mut self, elapsed: Duration) {
+    fn record_time(&mut self, elapsed: Duration) {
         let elapsed_ms = elapsed.as_secs_f64() * 1_000.0;
         if self.samples == 0 {
             self.smoothed_ms = elapsed_ms;
         }
-        self.smoothed_ms += (elapsed_ms - self.smoothed_ms) * SAMPLE_SHARE;
+        self.smoothed_ms += (elapsed_ms - self.smoothed_ms) * SAMPLE_WEIGHT;
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// A restarted sidecar may be healthy and need not be leaving any more.
-    const fn forget_former_life(&mut self) {
+    /// A restarted sidecar may be healthy and is not necessarily leaving any more.
+    const fn reset_after_restart(&mut self) {
         self.is_leaving = false;
         self.readmit();
     }
 }
 
-/// Attempts that run or wait and go before a new one of a class.
-const fn waiting_before(class: Class, load: &LoadReport) -> u32 {
+/// Running and queued attempts that go before a new one of a class.
+const fn attempts_ahead(class: Class, load: &LoadReport) -> u32 {
     let paid = load.running.saturating_add(load.queued_paid);
     match class {
         Class::Paid => paid,
--- a/crates/core/src/process/instance_view.rs
+++ b/crates/core/src/process/instance_view.rs
@@ -1,11 +1,12 @@
-//! The entries of a deployment, as one of them sees them.
+//! The entries of a deployment, as seen by one of them.
 //!
-//! Entries announce themselves in the store once. Whether one still lives is learnt by those that
-//! talk to it: a silent one is passed over for a while. One acts for all: the strongest machine, and
-//! among equals the one whose announcement is the oldest, so that one that joins rarely takes over.
-//! Where work is dealt out to cells, each has one of the strongest, by rendezvous hash.
-//! Every entry sees the same order without a word. While views differ, two entries may both act,
-//! which the callers of this module must bear.
+//! Entries announce themselves once in the store. Whether one is alive is observed by those that
+//! communicate with it: an unresponsive entry is skipped for a while. One entry is the owner: the
+//! one with the most processor capacity, and among equals the one with the oldest announcement, so
+//! that a new entry rarely takes over. Where the work is partitioned into cells, each cell has one
+//! of the strongest entries as its owner, by rendezvous hash. Every entry computes the same order
+//! without communication. While views differ, two entries may both act as owner, which the callers
+//! of this module must tolerate.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -17,129 +18,131 @@
 use super::{Cell, rendezvous};
 use crate::id::{InstanceId, RowVersion, ZoneId};
 
-/// How long an entry that fell silent is passed over before it is tried again.
-const PASSED_OVER: Duration = Duration::from_secs(3);
-/// Silence after which an announcement may be removed for an entry that nobody reaches.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(12);
+/// How long an unresponsive entry is skipped before it is tried again.
+const UNRESPONSIVE_PERIOD: Duration = Duration::from_secs(3);
+/// Time without a response after which an entry's announcement may be removed.
+const EXPIRED_AFTER: Duration = Duration::from_secs(12);
 
-/// Fewest entries of an availability zone of which one reads the store for all: with fewer, hardly
-/// a call is saved, and each loss of the one makes the others ask once more.
-const LEAST_READ_FOR: usize = 4;
+/// Fewest entries of an availability zone for which one entry reads the store: with fewer, hardly
+/// any call is saved, and each loss of the reader makes the others ask once more.
+const MIN_ENTRIES_PER_READER: usize = 4;
 
-/// What an entry announces of itself.
+/// What an entry announces about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Where other entries connect.
+    /// Address for connections of other entries.
     pub address: SocketAddr,
     /// Thousandths of a core that it may use.
     pub millicores: u32,
-    /// Its availability zone; none where it does not say.
+    /// Its availability zone; none if it is not announced.
     #[serde(default)]
     pub zone: Option<ZoneId>,
 }
 
-/// Who reads the store for the entries of an availability zone.
+/// Which entry reads the store for the entries of an availability zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreReader {
-    /// Each for itself: there are too few to gain by anything else.
+    /// Each entry for itself, as there are too few to benefit.
     Each,
     /// This entry, for all.
     This,
-    /// Another entry, and where it is.
+    /// Another entry, with its address.
     Other(InstanceId, SocketAddr),
 }
 
-/// Order of those that act: not seen, weakness, age, name.
-type Place<'a> = (bool, Reverse<u32>, Option<RowVersion>, &'a InstanceId);
+/// Order of owners: unannounced last, then strength, age and id.
+type OwnerPriority<'a> = (bool, Reverse<u32>, Option<RowVersion>, &'a InstanceId);
 
 #[derive(Debug, Clone)]
-struct Seen {
+struct KnownInstance {
     announcement: Announcement,
-    /// Version of the announcement; none while it is not seen in the store.
-    since: Option<RowVersion>,
-    silent_since: Option<Duration>,
-    passed_over_until: Duration,
+    /// Version of the announcement; none while it is not in the store.
+    version: Option<RowVersion>,
+    unresponsive_since: Option<Duration>,
+    unresponsive_until: Duration,
 }
 
-/// All entries with what is known of their life.
+/// All known entries and whether they respond.
 #[derive(Debug, Clone)]
 pub struct InstanceView {
     own: InstanceId,
     own_address: SocketAddr,
-    instances: BTreeMap<InstanceId, Seen>,
+    instances: BTreeMap<InstanceId, KnownInstance>,
     /// Whether the entry itself is about to stop.
     is_leaving: bool,
 }
 
 impl InstanceView {
-    /// A view that knows only the entry itself.
+    /// A view that only contains the entry itself.
     #[must_use]
     pub fn new(own: InstanceId, announcement: Announcement) -> Self {
         let own_address = announcement.address;
-        let seen = Seen::new(announcement, None);
+        let instance = KnownInstance::new(announcement, None);
         Self {
             own: own.clone(),
             own_address,
-            instances: BTreeMap::from([(own, seen)]),
+            instances: BTreeMap::from([(own, instance)]),
             is_leaving: false,
         }
     }
 
-    /// Lets the others act in the entry's place, as long as there is one.
+    /// Lets other entries become owner instead of this one, if there are any.
     pub const fn step_down(&mut self) {
         self.is_leaving = true;
     }
 
-    /// Name of the entry itself.
+    /// Id of the entry itself.
     #[must_use]
     pub const fn own(&self) -> &InstanceId {
         &self.own
     }
 
-    /// Takes an announcement; says whether it is of an entry that was not known.
+    /// Adds an announcement; returns whether the entry is new.
     ///
-    /// A new life at the same address ends the old one: an address has one process.
+    /// A new incarnation at the same address replaces the old one, as an address has one process.
     pub fn announced(
         &mut self,
         id: InstanceId,
         announcement: Announcement,
-        since: RowVersion,
+        version: RowVersion,
     ) -> bool {
         if let Some(known) = self.instances.get_mut(&id) {
-            known.since = Some(since);
+            known.version = Some(version);
             return false;
         }
         let at_address = self
             .instances
             .iter()
-            .find(|(_, seen)| seen.announcement.address == announcement.address);
-        if let Some((known, seen)) = at_address {
-            // After a loss of power the dead life's announcement is still there, and rows come in
-            // the order of their names: the older one must not hide the one that lives.
-            if *known == self.own || seen.since > Some(since) {
+            .find(|(_, instance)| instance.announcement.address == announcement.address);
+        if let Some((known, instance)) = at_address {
+            // After a power failure the announcement of the dead incarnation still exists, and rows
+            // arrive in the order of their ids: the older one must not replace the one that is
+            // alive.
+            if *known == self.own || instance.version > Some(version) {
                 return false;
             }
             let ended = known.clone();
             self.instances.remove(&ended);
         }
         self.instances
-            .insert(id, Seen::new(announcement, Some(since)));
+            .insert(id, KnownInstance::new(announcement, Some(version)));
         true
     }
 
-    /// Takes the end of an announcement.
+    /// Removes an announcement.
     pub fn withdrawn(&mut self, id: &InstanceId) {
         if *id != self.own {
             self.instances.remove(id);
         } else if let Some(own) = self.instances.get_mut(id) {
-            own.since = None;
+            own.version = None;
         }
     }
 
-    /// Keeps only what a whole list of announcements names; the entry itself stays.
+    /// Keeps only the announcements of a complete list, and the entry itself.
     ///
-    /// Guards against an announcement that was removed while nothing was told, as while the store
-    /// had lost its history: taken for there, the entry would name itself and all others another.
+    /// Guards against an announcement that was removed while no changes were received, as when the
+    /// store had lost its history: if an entry still counted on its own removed announcement, it
+    /// would name itself as owner, and all others another entry.
     pub fn retain_listed(&mut self, ids: &[InstanceId]) {
         let own = self.own.clone();
         self.instances
@@ -149,37 +152,37 @@
         }
     }
 
-    /// Notes that an entry answered.
+    /// Records that an entry responded.
     pub fn mark_responsive(&mut self, id: &InstanceId) {
-        if let Some(seen) = self.instances.get_mut(id) {
-            seen.silent_since = None;
-            seen.passed_over_until = Duration::ZERO;
+        if let Some(instance) = self.instances.get_mut(id) {
+            instance.unresponsive_since = None;
+            instance.unresponsive_until = Duration::ZERO;
         }
     }
 
-    /// Notes that an entry did not answer.
+    /// Records that an entry did not respond.
     pub fn mark_unresponsive(&mut self, id: &InstanceId, now: Duration) {
         if *id == self.own {
             return;
         }
-        if let Some(seen) = self.instances.get_mut(id) {
-            seen.silent_since.get_or_insert(now);
-            seen.passed_over_until = now + PASSED_OVER;
+        if let Some(instance) = self.instances.get_mut(id) {
+            instance.unresponsive_since.get_or_insert(now);
+            instance.unresponsive_until = now + UNRESPONSIVE_PERIOD;
         }
     }
 
-    /// Entries that are passed over, and where they were.
+    /// Unresponsive entries with their addresses.
     #[must_use]
     pub fn unresponsive(&self, now: Duration) -> Vec<(InstanceId, SocketAddr)> {
-        self.addressed(|_, seen| seen.is_passed_over(now))
+        self.with_addresses(|_, instance| instance.is_unresponsive(now))
     }
 
-    /// Entries that act no longer, because this one does in their place.
+    /// Unresponsive entries that this one has replaced as owner.
     ///
-    /// Their announcements are to be removed: one that lives announces itself anew, as the youngest.
-    /// Guards against an entry that freezes or is cut off for a while: taken back as the first when
-    /// it answers again, it would cost a second change of the one that acts, and each one loses
-    /// what was begun.
+    /// Their announcements should be removed; an entry that is alive announces itself again, as the
+    /// youngest. Guards against an entry that freezes or is partitioned for a while: if it became
+    /// owner again as soon as it responds, that would be a second change of owner, and each change
+    /// loses started work.
     #[must_use]
     pub fn displaced(&self, now: Duration) -> Vec<InstanceId> {
         if *self.owner(Cell::SINGLE, now).0 != self.own {
@@ -188,155 +191,166 @@
         let Some(own) = self.instances.get(&self.own) else {
             return Vec::new();
         };
-        let own_place = own.place(&self.own);
-        let is_before =
-            |id: &InstanceId, seen: &Seen| seen.is_passed_over(now) && seen.place(id) < own_place;
+        let own_priority = own.priority(&self.own);
+        let is_before = |id: &InstanceId, instance: &KnownInstance| {
+            instance.is_unresponsive(now) && instance.priority(id) < own_priority
+        };
         let before = self
             .instances
             .iter()
-            .filter(|(id, seen)| is_before(id, seen));
+            .filter(|(id, instance)| is_before(id, instance));
         before.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Other entries that are not passed over, and where they are.
+    /// Other entries that are not unresponsive, with their addresses.
     #[must_use]
     pub fn live_others(&self, now: Duration) -> Vec<(InstanceId, SocketAddr)> {
-        self.addressed(|id, seen| *id != self.own && !seen.is_passed_over(now))
+        self.with_addresses(|id, instance| *id != self.own && !instance.is_unresponsive(now))
     }
 
-    /// Entries that nobody here has reached for long.
+    /// Entries that this one has not reached for long.
     #[must_use]
     pub fn expired(&self, now: Duration) -> Vec<InstanceId> {
-        let is_forgotten = |seen: &Seen| {
-            seen.silent_since
-                .is_some_and(|since| now.saturating_sub(since) >= FORGOTTEN_AFTER)
+        let is_expired = |instance: &KnownInstance| {
+            instance
+                .unresponsive_since
+                .is_some_and(|since| now.saturating_sub(since) >= EXPIRED_AFTER)
         };
-        let forgotten = self.instances.iter().filter(|(_, seen)| is_forgotten(seen));
-        forgotten.map(|(id, _)| id.clone()).collect()
+        let expired = self
+            .instances
+            .iter()
+            .filter(|(_, instance)| is_expired(instance));
+        expired.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Entries that are not passed over, the entry itself among them.
+    /// Number of entries that are not unresponsive, including this one.
     #[must_use]
     pub fn live_count(&self, now: Duration) -> usize {
-        let is_live = |seen: &&Seen| !seen.is_passed_over(now);
+        let is_live = |instance: &&KnownInstance| !instance.is_unresponsive(now);
         self.instances.values().filter(is_live).count().max(1)
     }
 
-    /// Addresses of all entries that are announced, silent ones too; none while the entry itself is
-    /// not, or is about to stop.
+    /// Addresses of all announced entries, including unresponsive ones; none while the entry itself
+    /// is not announced or is about to stop.
     ///
-    /// Shares of what all entries may do together are worked out by these: one that fell silent may
-    /// only be out of this one's reach, and one that the others do not see is not in their sums.
+    /// Shares of common limits are computed from these addresses: an unresponsive entry may only be
+    /// unreachable from here, and an entry that the others do not see is not part of their sums.
     #[must_use]
     pub fn announced_addresses(&self) -> Vec<SocketAddr> {
         let own = self.instances.get(&self.own);
-        if self.is_leaving || own.is_none_or(|own| own.since.is_none()) {
+        if self.is_leaving || own.is_none_or(|own| own.version.is_none()) {
             return Vec::new();
         }
-        let seen = self.instances.values();
-        seen.map(|seen| seen.announcement.address).collect()
+        let instances = self.instances.values();
+        instances
+            .map(|instance| instance.announcement.address)
+            .collect()
     }
 
-    /// Where the entry itself is.
+    /// Address of the entry itself.
     #[must_use]
     pub const fn own_address(&self) -> SocketAddr {
         self.own_address
     }
 
-    /// The entry that acts for a cell: the first in order among those not passed over.
+    /// The owner of a cell: the first in order among entries that are not unresponsive.
     #[must_use]
     pub fn owner(&self, cell: Cell, now: Duration) -> (&InstanceId, SocketAddr) {
         let live = self
             .instances
             .iter()
-            .filter(|(_, seen)| !seen.is_passed_over(now));
-        let placed = live.map(|(id, seen)| {
+            .filter(|(_, instance)| !instance.is_unresponsive(now));
+        let prioritised = live.map(|(id, instance)| {
             let by_hash = || Reverse(rendezvous::score(cell.index().into(), id.as_str()));
             let score = (!cell.is_single()).then(by_hash);
-            let (is_unseen, weakness, since, id) = seen.place(id);
+            let (is_unannounced, strength, version, id) = instance.priority(id);
             let is_leaving = self.is_leaving && *id == self.own;
-            ((is_leaving, is_unseen, weakness, score, since, id), seen)
+            (
+                (is_leaving, is_unannounced, strength, score, version, id),
+                instance,
+            )
         });
-        let first = placed.min_by(|(a, _), (b, _)| a.cmp(b));
+        let first = prioritised.min_by(|(a, _), (b, _)| a.cmp(b));
         let ((.., id), found) = first.unwrap_or_else(|| {
-            // The own entry is never removed, so the view is never empty.
+            // The entry itself is never removed, so the view is never empty.
             unreachable!("the view holds its own entry")
         });
         (id, found.announcement.address)
     }
 
     /// The entry of the same availability zone that reads the store for the others: the strongest,
-    /// and among equals one by rendezvous hash. Some may be left out, as those that had nothing new
-    /// to tell. Entries with different views may name each other, so what is heard through another
-    /// counts by the store's own clock only.
+    /// and among equals one by rendezvous hash. Some may be excluded, such as entries that had no
+    /// news. Entries with different views may name each other as reader, so information received
+    /// through another entry is dated by the store's own clock only.
     #[must_use]
-    pub fn reader(&self, now: Duration, is_left_out: impl Fn(&InstanceId) -> bool) -> StoreReader {
+    pub fn reader(&self, now: Duration, is_excluded: impl Fn(&InstanceId) -> bool) -> StoreReader {
         let own = self.instances.get(&self.own);
         let Some(zone) = own.and_then(|own| own.announcement.zone.as_ref()) else {
             return StoreReader::Each;
         };
         let zone_seed = rendezvous::score(0, zone);
-        let in_zone = self.instances.iter().filter(|(_, seen)| {
-            !seen.is_passed_over(now) && seen.announcement.zone.as_ref() == Some(zone)
+        let in_zone = self.instances.iter().filter(|(_, instance)| {
+            !instance.is_unresponsive(now) && instance.announcement.zone.as_ref() == Some(zone)
         });
         let in_zone: Vec<_> = in_zone.collect();
-        if in_zone.len() < LEAST_READ_FOR {
+        if in_zone.len() < MIN_ENTRIES_PER_READER {
             return StoreReader::Each;
         }
         let usable = in_zone
             .into_iter()
-            .filter(|(id, _)| **id == self.own || !is_left_out(id));
-        let first = usable.min_by_key(|(id, seen)| {
-            let (is_unseen, weakness, _, id) = seen.place(id);
+            .filter(|(id, _)| **id == self.own || !is_excluded(id));
+        let first = usable.min_by_key(|(id, instance)| {
+            let (is_unannounced, strength, _, id) = instance.priority(id);
             let is_leaving = self.is_leaving && *id == self.own;
             (
                 is_leaving,
-                is_unseen,
-                weakness,
+                is_unannounced,
+                strength,
                 rendezvous::score(zone_seed, id),
                 id,
             )
         });
         match first {
-            Some((id, seen)) if *id != self.own => {
-                StoreReader::Other(id.clone(), seen.announcement.address)
+            Some((id, instance)) if *id != self.own => {
+                StoreReader::Other(id.clone(), instance.announcement.address)
             }
-            // The entry itself is never left out.
+            // The entry itself is never excluded.
             _ => StoreReader::This,
         }
     }
 
-    fn addressed(
+    fn with_addresses(
         &self,
-        is_wanted: impl Fn(&InstanceId, &Seen) -> bool,
+        is_selected: impl Fn(&InstanceId, &KnownInstance) -> bool,
     ) -> Vec<(InstanceId, SocketAddr)> {
-        let wanted = self
+        let selected = self
             .instances
             .iter()
-            .filter(|(id, seen)| is_wanted(id, seen));
-        let addressed = wanted.map(|(id, seen)| (id.clone(), seen.announcement.address));
-        addressed.collect()
+            .filter(|(id, instance)| is_selected(id, instance));
+        let with_addresses =
+            selected.map(|(id, instance)| (id.clone(), instance.announcement.address));
+        with_addresses.collect()
     }
 }
 
-impl Seen {
-    /// Place in the order of those that act for all.
-    fn place<'a>(&self, id: &'a InstanceId) -> Place<'a> {
-        let weakness = Reverse(self.announcement.millicores);
-        // One that is not seen in the store yet comes after all that are.
-        (self.since.is_none(), weakness, self.since, id)
+impl KnownInstance {
+    /// Position in the order of owners.
+    fn priority<'a>(&self, id: &'a InstanceId) -> OwnerPriority<'a> {
+        let strength = Reverse(self.announcement.millicores);
+        // Entries without an announcement in the store come last.
+        (self.version.is_none(), strength, self.version, id)
     }
 
-    fn is_passed_over(&self, now: Duration) -> bool {
-        self.passed_over_until > now
+    fn is_unresponsive(&self, now: Duration) -> bool {
+        self.unresponsive_until > now
     }
 
-    const fn new(announcement: Announcement, since: Option<RowVersion>) -> Self {
+    const fn new(announcement: Announcement, version: Option<RowVersion>) -> Self {
         Self {
             announcement,
-            since,
-            silent_since: None,
-            passed_over_until: Duration::ZERO,
+            version,
+            unresponsive_since: None,
+            unresponsive_until: Duration::ZERO,
         }
     }
 }
--- a/crates/core/src/process/lag_detector.rs
+++ b/crates/core/src/process/lag_detector.rs
@@ -1,28 +1,29 @@
-//! Whether an actor keeps up with what comes, told by how late it comes to what was due.
+//! Detects that an actor falls behind, by how late it handles due work.
 //!
-//! Answers a burst beyond what the processor can do: work queues before the actor, all of it comes
-//! late, and what is taken in is done for callers who have left by then. A single late moment, as
-//! after a freeze or at the end of a processor's quota, says nothing: only lateness that stands for
-//! a while does, and one moment in time ends it.
+//! Guards against a burst that exceeds the processor's capacity: work queues up in front of the
+//! actor, everything is handled late, and accepted work is done for callers who have left by then.
+//! A single delay, as after a freeze or at the end of a processor quota, means nothing: only lag
+//! that persists for a while counts, and a single event on time ends it.
 
 use std::time::Duration;
 
-/// Lateness from which an actor is behind: a tenth of the shortest aims, and as long as a processor
-/// may be withheld by a quota.
-const BEHIND: Duration = Duration::from_millis(100);
-/// Time for which it must stand: a burst that is over sooner is worked off within callers' aims.
-const STANDS_FOR: Duration = Duration::from_millis(300);
+/// Lag from which an actor is behind: a tenth of the shortest target latencies, and as long as a
+/// quota may withhold the processor.
+const LAG_THRESHOLD: Duration = Duration::from_millis(100);
+/// Time for which the lag must persist: shorter bursts are completed within the callers' target
+/// latencies.
+const LAG_PERIOD: Duration = Duration::from_millis(300);
 
 /// A change of whether an actor keeps up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LagChange {
-    /// It has been behind for a while: it should take no more work.
+    /// It has been behind for a while and should accept no more work.
     FellBehind,
-    /// It is in time again.
+    /// It is on time again.
     CaughtUp,
 }
 
-/// How late an actor comes to what is due.
+/// How late an actor handles due work.
 ///
 /// # Examples
 ///
@@ -32,7 +33,7 @@
 ///
 /// let ms = Duration::from_millis;
 /// let mut lag_detector = LagDetector::default();
-/// // Due at 1,000 and come to at 1,150: late, but that may be a single pause.
+/// // Due at 1,000 and handled at 1,150: late, but that may be a single pause.
 /// assert_eq!(lag_detector.observe(ms(1_000), ms(1_150)), None);
 /// assert_eq!(lag_detector.observe(ms(1_300), ms(1_500)), Some(LagChange::FellBehind));
 /// assert!(lag_detector.is_behind());
@@ -45,15 +46,15 @@
 }
 
 impl LagDetector {
-    /// Takes when something was due and when it was come to.
+    /// Records when something was due and when it was handled.
     pub fn observe(&mut self, due: Duration, now: Duration) -> Option<LagChange> {
-        if now.saturating_sub(due) < BEHIND {
+        if now.saturating_sub(due) < LAG_THRESHOLD {
             self.late_since = None;
             return std::mem::take(&mut self.is_behind).then_some(LagChange::CaughtUp);
         }
         let since = *self.late_since.get_or_insert(now);
-        let stands = now.saturating_sub(since) >= STANDS_FOR;
-        if !stands || self.is_behind {
+        let persists = now.saturating_sub(since) >= LAG_PERIOD;
+        if !persists || self.is_behind {
             return None;
         }
         self.is_behind = true;
--- a/crates/core/src/process/load_meter.rs
+++ b/crates/core/src/process/load_meter.rs
@@ -1,8 +1,8 @@
-//! What a sidecar measures of its backend server's load.
+//! Measures the load of a sidecar's backend server.
 //!
-//! The expected time decides what a queue takes in, and only what it takes in is measured. So an
-//! expected time without fresh samples fades: a server that was frozen or slow would otherwise
-//! refuse everything for good, on the word of its last samples.
+//! The expected time decides what a queue accepts, and only accepted attempts are measured. So an
+//! expected time without new samples decays: otherwise a server that was frozen or slow would
+//! refuse everything for ever because of its last samples.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 use crate::unit::{Class, SidecarClock};
 use crate::wire::LoadReport;
 
-/// Each new sample counts for one part in so many; about the last ten samples tell.
-const SAMPLES: u64 = 10;
-/// Age of the last sample from which the expected time halves, again and again.
-const FADE: Duration = Duration::from_secs(1);
-/// Longest time without a sample that is put down to work still running.
-const MAX_PATIENCE_MS: u64 = 2_000;
-/// Halvings after which nothing is left of any expected time.
+/// Each new sample has a weight of one in this number; about the last ten samples count.
+const SAMPLE_COUNT: u64 = 10;
+/// Age of the last sample from which the expected time is halved, repeatedly.
+const HALVING_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest time without a sample that is attributed to work that is still running.
+const MAX_RUNNING_MS: u64 = 2_000;
+/// Number of halvings after which any expected time is zero.
 const MAX_HALVINGS: u128 = 20;
 
-/// Smoothed times behind a sidecar's load reports.
+/// Smoothed times for a sidecar's load reports.
 ///
 /// # Examples
 ///
@@ -43,7 +43,7 @@
 }
 
 impl LoadMeter {
-    /// Takes in how long an attempt waited before it ran.
+    /// Records how long an attempt waited before it ran.
     pub fn record_wait(&mut self, class: Class, queue_ms: u64) {
         match class {
             Class::Paid => smooth(&mut self.queue_paid_ms, queue_ms),
@@ -51,16 +51,16 @@
         }
     }
 
-    /// Takes in how long an attempt spent at the backend server.
+    /// Records how long an attempt spent at the backend server.
     pub fn record_service(&mut self, service_ms: u64, now: SidecarClock) {
         smooth(&mut self.service_ms, service_ms);
         self.sampled_at = now;
     }
 
-    /// Takes in how long an attempt had run when it was cancelled.
+    /// Records how long an attempt had run when it was cancelled.
     ///
-    /// Cancelled work took at least that long. Without it only the quick survivors of a slow spell
-    /// would be measured, and entries would go on admitting what cannot end in time.
+    /// Cancelled work took at least that long. Otherwise only the fast attempts of a slow period
+    /// would be measured, and entries would go on admitting work that cannot end in time.
     pub fn record_cancelled(&mut self, service_ms: u64, now: SidecarClock) {
         if self
             .service_ms
@@ -70,18 +70,21 @@
         }
     }
 
-    /// Time that the next attempt is expected to spend at the backend server.
+    /// Expected time of the next attempt at the backend server.
     #[must_use]
     pub fn expected_ms(&self, now: SidecarClock) -> u64 {
         let smoothed_ms = self.service_ms.unwrap_or(0);
-        // While work as long as expected may still be running, silence says nothing.
-        let patience = FADE + Duration::from_millis(smoothed_ms.min(MAX_PATIENCE_MS));
-        let age = self.sampled_at.until(now).saturating_sub(patience);
-        let halvings = age.as_millis().div_ceil(FADE.as_millis()).min(MAX_HALVINGS);
+        // While work of the expected length may still be running, missing samples mean nothing.
+        let grace = HALVING_INTERVAL + Duration::from_millis(smoothed_ms.min(MAX_RUNNING_MS));
+        let age = self.sampled_at.until(now).saturating_sub(grace);
+        let halvings = age
+            .as_millis()
+            .div_ceil(HALVING_INTERVAL.as_millis())
+            .min(MAX_HALVINGS);
         (0..halvings).fold(smoothed_ms, |left_ms, _| left_ms / 2)
     }
 
-    /// The present report.
+    /// The current load report.
     #[must_use]
     pub fn report(&self, queue: &FairQueue, now: SidecarClock) -> LoadReport {
         LoadReport {
@@ -97,8 +100,8 @@
 }
 
 fn smooth(smoothed: &mut Option<u64>, sample: u64) {
-    let former = smoothed.unwrap_or(sample);
-    *smoothed = Some((former * (SAMPLES - 1) + sample) / SAMPLES);
+    let previous = smoothed.unwrap_or(sample);
+    *smoothed = Some((previous * (SAMPLE_COUNT - 1) + sample) / SAMPLE_COUNT);
 }
 
 fn bounded(number: impl TryInto<u32>) -> u32 {
--- a/crates/core/src/process/load_snapshot.rs
+++ b/crates/core/src/process/load_snapshot.rs
@@ -1,20 +1,20 @@
-//! What a choice of server was made by.
+//! The load of a server that a selection was based on.
 
 use std::fmt;
 use std::time::Duration;
 
-/// The load of a server as a choice saw it.
+/// The load of a server at the time of a selection.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LoadSnapshot {
     /// Requests of this entry at the server.
     pub in_flight: usize,
-    /// Requests that the server last told of, in work and waiting.
+    /// Requests that the server last reported, running and waiting.
     pub reported: OptionalNumber,
-    /// Milliseconds since it told.
+    /// Milliseconds since the report.
     pub reported_age_ms: OptionalNumber,
 }
 
-/// A number that may not be known; shown as `-` then.
+/// A number that may be unknown, which is then shown as `-`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OptionalNumber(pub Option<u64>);
 
--- a/crates/core/src/process/organisation_limits.rs
+++ b/crates/core/src/process/organisation_limits.rs
@@ -1,8 +1,8 @@
-//! Limits of organisations at one entry.
+//! Rate and concurrency limits of organisations at one entry.
 //!
-//! The tree's limit is the sum over entries, so each entry grants its share. A share may be below
-//! one request a second; the bucket then still holds one whole token, so that the share is met
-//! over time. The limits are soft: the sidecars' queues are what protects paid work.
+//! The configured limit applies to all entries together, so each entry grants its share. A share
+//! may be below one request per second; the bucket still holds one whole token then, so that the
+//! share is met over time. The limits are soft: the sidecars' queues are what protects paid work.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,22 +14,22 @@
 
 /// Time in which a request in flight is likely to end.
 const IN_FLIGHT_RETRY_AFTER_MS: u64 = 500;
-/// Time to come back for an organisation whose limit is zero.
+/// Retry delay for an organisation whose limit is zero.
 const NO_SHARE_RETRY_AFTER_MS: u64 = 60_000;
-/// Seconds of its share that an organisation may save up; with one, callers who come back after a
-/// failure are refused although there is room, and with ten a flood costs trials three points.
+/// Seconds of its share that an organisation can accumulate; with one, callers that retry after a
+/// failure are refused although there is capacity, and with ten a flood costs trials three points.
 const BURST_S: f64 = 5.0;
-/// Tokens that every bucket may save up, however small its share. A balancer spreads requests at
-/// random, so a small share meets two requests at once as often as none; with one token most of
-/// them are refused though the organisation is within its limit. The rate over time is not
-/// raised by it.
-const LEAST_BURST: f64 = 8.0;
-/// Seconds of its share that a new bucket holds, so that entries that start grant no burst.
-const FIRST_S: f64 = 1.0;
-/// Longest time to come back; promises further ahead would outlive most callers.
+/// Tokens that every bucket can accumulate, however small its share. A load balancer spreads
+/// requests at random, so a small share gets two requests at once as often as none; with one token
+/// most of them would be refused although the organisation is within its limit. It does not raise
+/// the average rate.
+const MIN_BURST: f64 = 8.0;
+/// Seconds of its share in a new bucket, so that starting entries grant no burst.
+const INITIAL_S: f64 = 1.0;
+/// Longest retry delay; a later time would outlive most callers.
 const MAX_WAIT_S: f64 = 10.0;
 
-/// Tokens of one organisation.
+/// Token bucket of one organisation.
 #[derive(Debug, Default)]
 struct Bucket {
     tokens: f64,
@@ -38,7 +38,7 @@
     in_flight: u32,
 }
 
-/// Token buckets and counts in flight, by organisation.
+/// Token buckets and numbers of requests in flight, by organisation.
 ///
 /// # Examples
 ///
@@ -62,7 +62,7 @@
 }
 
 impl OrganisationLimits {
-    /// Limits with full buckets.
+    /// Limits without any requests so far.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -79,8 +79,8 @@
     ) -> Result<(), Refusal> {
         let entries = live_entries.max(1);
         let bucket = self.buckets.entry(organisation.clone()).or_default();
-        if let Some(most) = max_in_flight {
-            bucket.check_in_flight(most.div_ceil(entries))?;
+        if let Some(max) = max_in_flight {
+            bucket.check_in_flight(max.div_ceil(entries))?;
         }
         if let Some(limit) = limit {
             bucket.take_token(limit.get() / f64::from(entries), now)?;
@@ -89,14 +89,14 @@
         Ok(())
     }
 
-    /// Notes that an admitted request has ended.
+    /// Records that an admitted request has ended.
     pub fn ended(&mut self, organisation: &OrganisationId) {
         if let Some(bucket) = self.buckets.get_mut(organisation) {
             bucket.in_flight = bucket.in_flight.saturating_sub(1);
         }
     }
 
-    /// Requests of an organisation that this entry has in flight.
+    /// Number of an organisation's requests in flight at this entry.
     #[must_use]
     pub fn in_flight(&self, organisation: &OrganisationId) -> u32 {
         self.buckets
@@ -106,8 +106,8 @@
 }
 
 impl Bucket {
-    const fn check_in_flight(&self, most: u32) -> Result<(), Refusal> {
-        if self.in_flight < most {
+    const fn check_in_flight(&self, max_in_flight: u32) -> Result<(), Refusal> {
+        if self.in_flight < max_in_flight {
             return Ok(());
         }
         Err(Refusal::new(
@@ -120,22 +120,22 @@
         if share_per_s <= 0.0 {
             return Err(Refusal::new(ResultCode::OverLimit, NO_SHARE_RETRY_AFTER_MS));
         }
-        self.fill(share_per_s, now);
+        self.refill(share_per_s, now);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
         }
         Err(Refusal::new(
             ResultCode::OverLimit,
-            self.promise(share_per_s, now),
+            self.promise_token(share_per_s, now),
         ))
     }
 
-    /// Time until a token that no other refused caller was told to come for.
+    /// Reserves a future token for a refused caller; returns the time until then in milliseconds.
     ///
-    /// Told the time of the next token, all refused callers would come back for the same one, and
-    /// most would be refused again and again until their deadlines were spent.
-    fn promise(&mut self, share_per_s: f64, now: Duration) -> u64 {
+    /// If all refused callers were told the time of the next token, they would all return for it,
+    /// and most would be refused again and again until their deadlines had passed.
+    fn promise_token(&mut self, share_per_s: f64, now: Duration) -> u64 {
         let next =
             now + Duration::from_secs_f64(((1.0 - self.tokens) / share_per_s).min(MAX_WAIT_S));
         let interval = Duration::from_secs_f64((1.0 / share_per_s).min(MAX_WAIT_S));
@@ -145,13 +145,13 @@
         u64::try_from(wait.as_millis()).unwrap_or(u64::MAX).max(1)
     }
 
-    fn fill(&mut self, share_per_s: f64, now: Duration) {
-        let most = (share_per_s * BURST_S).max(LEAST_BURST);
+    fn refill(&mut self, share_per_s: f64, now: Duration) {
+        let max_tokens = (share_per_s * BURST_S).max(MIN_BURST);
         self.tokens = match self.filled_at {
-            None => (share_per_s * FIRST_S).max(1.0),
+            None => (share_per_s * INITIAL_S).max(1.0),
             Some(at) => {
-                let passed = now.saturating_sub(at);
-                (self.tokens + passed.as_secs_f64() * share_per_s).min(most)
+                let elapsed = now.saturating_sub(at);
+                (self.tokens + elapsed.as_secs_f64() * share_per_s).min(max_tokens)
             }
         };
         self.filled_at = Some(now);
--- a/crates/core/src/process/quarantine.rs
+++ b/crates/core/src/process/quarantine.rs
@@ -1,18 +1,18 @@
-//! Which requests are held back because servers crash under them.
+//! Holds back requests that crash servers.
 //!
-//! A request may crash each server that runs it, and comes again under a new name at any entry. One
-//! entry sees too little of it: each tells the others of each crash which requests were lost with
-//! the server, and all add up the same evidence. A request that was lost with three servers is held
-//! back. A crash is explained by the request that is to blame for most, so that requests which ran
-//! beside it are not held back with it. A request that also runs to its end is not to blame: a popular
-//! one is at each server that crashes, and ends well elsewhere meanwhile.
+//! A request may crash each server that runs it, and is sent again under a new id at any entry. A
+//! single entry sees only some of the crashes: so each publishes which requests were lost in each
+//! crash, and all of them evaluate the same evidence. A request that was lost with three servers is
+//! quarantined. A crash is attributed to the request with most crashes, so that requests which ran
+//! beside it are not quarantined too. A request that also completes is not a culprit: a popular one
+//! is present at each crash, and completes elsewhere meanwhile.
 //!
-//! Before the last crash that a request is allowed, it is sent to one server at a time: an entry tells
-//! the others of the run before it begins, as if the server had crashed, and takes that back when the
-//! run has ended well. An entry that ends in the middle of the run so leaves its word behind.
+//! Before the last crash that a request is allowed, it runs at one server at a time: the entry
+//! publishes evidence before the run, as if the server had crashed, and withdraws it when the run
+//! has ended well. So the evidence remains if the entry itself ends during the run.
 //!
-//! Evidence is forgotten some time after it was last told. While a request that is held back keeps
-//! coming, it is told again.
+//! Evidence expires some time after it was last published. While a quarantined request keeps
+//! arriving, its evidence is published again.
 
 mod crash_evidence;
 mod lost_runs;
@@ -30,52 +30,52 @@
 use crate::id::{EvidenceId, RequestFingerprint, ServerIncarnation};
 use suspicions::Suspicions;
 
-/// Crashes from which on a request is sent to one server at a time, and its completed runs are told to
-/// the others.
-const ONE_AT_A_TIME_FROM: usize = 2;
-/// Time from the last crash until the request is held back: one that many callers send runs to its end
-/// elsewhere meanwhile, which speaks for it.
-const CONFIRMED_AFTER: Duration = Duration::from_millis(500);
-/// How long evidence counts after it was last told.
-const RETAINED: Duration = Duration::from_mins(10);
-/// Age from which the evidence against a request that still comes is told again.
-const RENEWED_AFTER: Duration = Duration::from_mins(5);
-/// Time between two looks for evidence that counts no more.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
-/// Most blames that are kept, a request and a server each.
-const MOST_BLAMES: usize = 20_000;
-/// Blames that are left when there are too many; the oldest go first.
-const BLAMES_LEFT: usize = 15_000;
+/// Number of crashes from which a request runs at one server at a time and its completed runs are
+/// published.
+const SINGLE_RUN_FROM: usize = 2;
+/// Time from the last crash until the request is quarantined: a request that many callers send
+/// completes elsewhere meanwhile, which clears it.
+const CONFIRMATION_DELAY: Duration = Duration::from_millis(500);
+/// Time for which evidence counts after it was last published.
+const RETENTION: Duration = Duration::from_mins(10);
+/// Age from which the evidence against a request that still arrives is published again.
+const RENEWAL_AGE: Duration = Duration::from_mins(5);
+/// Time between two scans for expired evidence.
+const EXPIRY_SCAN_INTERVAL: Duration = Duration::from_secs(1);
+/// Largest number of suspicions, each a pair of request and server.
+const MAX_SUSPICIONS: usize = 20_000;
+/// Number of suspicions that remain after trimming; the oldest are dropped.
+const SUSPICIONS_AFTER_TRIM: usize = 15_000;
 
-/// What is known against a request.
+/// State of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineState {
-    /// Nothing.
+    /// No evidence against it.
     Clear,
-    /// A server crashed while it ran it.
+    /// A server crashed while it ran there.
     Suspected,
-    /// Servers crashed under it, almost as many as hold it back: it may be sent to one server at a time.
+    /// Almost as many servers crashed as quarantine it: it may run at one server at a time.
     SingleRun,
-    /// So many servers crashed under it: it is sent to no more.
+    /// It is sent to no server, as this number of servers crashed.
     Quarantined(usize),
 }
 
-/// A change of what is held back.
+/// A change of the quarantined requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum QuarantineChange {
-    /// A request is held back from now on.
+    /// A request is quarantined, because of these servers.
     Quarantined(RequestFingerprint, Vec<ServerIncarnation>),
-    /// A request is held back no more.
+    /// A request is released.
     Released(RequestFingerprint),
 }
 
 #[derive(Debug, Clone)]
-struct Taken {
+struct StoredEvidence {
     evidence: CrashEvidence,
     at: Duration,
 }
 
-/// The evidence of all entries, and what follows from it.
+/// The evidence of all entries, and the requests that it quarantines.
 ///
 /// # Examples
 ///
@@ -96,12 +96,12 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Quarantine {
-    evidence: BTreeMap<EvidenceId, Taken>,
+    evidence: BTreeMap<EvidenceId, StoredEvidence>,
     suspicions: Suspicions,
-    /// Since when requests are to blame.
-    blamed: BTreeMap<RequestFingerprint, Duration>,
-    /// When old evidence was last looked for.
-    looked_at: Duration,
+    /// Culprits, and since when they are known.
+    culprits: BTreeMap<RequestFingerprint, Duration>,
+    /// Time of the last scan for expired evidence.
+    scanned_at: Duration,
 }
 
 impl Quarantine {
@@ -111,14 +111,14 @@
         self.suspicions.servers.is_empty()
     }
 
-    /// Takes what an entry tells.
+    /// Adds the evidence of an entry.
     pub fn add_evidence(
         &mut self,
         id: EvidenceId,
         evidence: CrashEvidence,
         now: Duration,
     ) -> Vec<QuarantineChange> {
-        self.forget_old(now);
+        self.drop_expired(now);
         let known = self.evidence.get(&id);
         if known.is_some_and(|known| known.evidence == evidence) {
             return Vec::new();
@@ -127,68 +127,72 @@
         if is_new {
             self.suspicions.add(&evidence);
         }
-        self.evidence.insert(id, Taken { evidence, at: now });
+        self.evidence
+            .insert(id, StoredEvidence { evidence, at: now });
         if !is_new {
             self.rebuild();
         }
-        self.judge(now)
+        self.update_culprits(now)
     }
 
-    /// Takes evidence back: it was removed.
+    /// Removes evidence that was withdrawn.
     pub fn remove_evidence(&mut self, id: &EvidenceId, now: Duration) -> Vec<QuarantineChange> {
         if self.evidence.remove(id).is_none() {
             return Vec::new();
         }
         self.rebuild();
-        self.judge(now)
+        self.update_culprits(now)
     }
 
-    /// Keeps only evidence that a function names.
+    /// Keeps only the evidence that the predicate selects.
     pub fn retain_evidence(
         &mut self,
-        is_kept: impl Fn(&EvidenceId) -> bool,
+        is_retained: impl Fn(&EvidenceId) -> bool,
         now: Duration,
     ) -> Vec<QuarantineChange> {
         let before = self.evidence.len();
-        self.evidence.retain(|id, _| is_kept(id));
+        self.evidence.retain(|id, _| is_retained(id));
         if self.evidence.len() == before {
             return Vec::new();
         }
         self.rebuild();
-        self.judge(now)
+        self.update_culprits(now)
     }
 
-    /// What is known against a request.
+    /// State of a request.
     #[must_use]
     pub fn state(&self, request: RequestFingerprint, now: Duration) -> QuarantineState {
         let Some(servers) = self.suspicions.servers.get(&request) else {
             return QuarantineState::Clear;
         };
-        let since = self.blamed.get(&request);
-        let is_held = since.is_some_and(|since| now.saturating_sub(*since) >= CONFIRMED_AFTER);
-        if is_held {
+        let culprit_since = self.culprits.get(&request);
+        let is_quarantined = culprit_since
+            .is_some_and(|culprit_since| now.saturating_sub(*culprit_since) >= CONFIRMATION_DELAY);
+        if is_quarantined {
             QuarantineState::Quarantined(servers.len())
-        } else if self.is_close(request) {
+        } else if self.is_near_limit(request) {
             QuarantineState::SingleRun
         } else {
             QuarantineState::Suspected
         }
     }
 
-    /// Whether others are to be told that a request ran to its end, as it could be held back.
+    /// Whether completed runs of a request should be published, as it is close to quarantine.
     #[must_use]
     pub fn publishes_survival(&self, request: RequestFingerprint) -> bool {
-        self.is_close(request)
+        self.is_near_limit(request)
     }
 
-    /// The evidence against a request that is held back and comes again, if it would soon be forgotten.
+    /// The evidence against a quarantined request that arrives again, if it should be published
+    /// again.
     #[must_use]
     pub fn renewal_of(&self, request: RequestFingerprint, now: Duration) -> Option<CrashEvidence> {
         let servers = self.suspicions.servers.get(&request)?;
-        let blames = |taken: &&Taken| taken.evidence.blames().any(|(one, _)| one == request);
-        let newest = self.evidence.values().filter(blames);
-        let newest_at = newest.map(|taken| taken.at).max()?;
-        if now.saturating_sub(newest_at) < RENEWED_AFTER {
+        let suspicions =
+            |stored: &&StoredEvidence| stored.evidence.suspicions().any(|(one, _)| one == request);
+        let newest = self.evidence.values().filter(suspicions);
+        let newest_at = newest.map(|stored| stored.at).max()?;
+        if now.saturating_sub(newest_at) < RENEWAL_AGE {
             return None;
         }
         let mut evidence = CrashEvidence::default();
@@ -198,81 +202,80 @@
         Some(evidence)
     }
 
-    /// Evidence that counts no more and may be removed for all.
+    /// Expired evidence, which may be removed from the store.
     #[must_use]
     pub fn expired(&self, now: Duration) -> Vec<EvidenceId> {
-        let is_old = |taken: &Taken| now.saturating_sub(taken.at) >= RETAINED;
-        let old = self.evidence.iter().filter(|(_, taken)| is_old(taken));
+        let is_old = |stored: &StoredEvidence| now.saturating_sub(stored.at) >= RETENTION;
+        let old = self.evidence.iter().filter(|(_, stored)| is_old(stored));
         old.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Requests that are held back, each with the servers that crashed under it.
+    /// Quarantined requests, each with the servers that crashed.
     pub fn quarantined(
         &self,
     ) -> impl Iterator<Item = (RequestFingerprint, &BTreeSet<ServerIncarnation>)> {
-        let held = self.blamed.keys();
-        held.filter_map(|request| Some((*request, self.suspicions.servers.get(request)?)))
+        let quarantined = self.culprits.keys();
+        quarantined.filter_map(|request| Some((*request, self.suspicions.servers.get(request)?)))
     }
 
-    /// Whether almost as many servers crashed under a request as hold it back.
-    fn is_close(&self, request: RequestFingerprint) -> bool {
-        self.suspicions.crashes(request) >= ONE_AT_A_TIME_FROM
-            && !self.suspicions.is_cleared(request)
+    /// Whether almost as many servers crashed as quarantine a request.
+    fn is_near_limit(&self, request: RequestFingerprint) -> bool {
+        self.suspicions.crashes(request) >= SINGLE_RUN_FROM && !self.suspicions.is_cleared(request)
     }
 
-    fn forget_old(&mut self, now: Duration) {
-        let has_too_many = self.suspicions.blames > MOST_BLAMES;
-        if !has_too_many && now.saturating_sub(self.looked_at) < LOOK_EVERY {
+    fn drop_expired(&mut self, now: Duration) {
+        let has_too_many = self.suspicions.count > MAX_SUSPICIONS;
+        if !has_too_many && now.saturating_sub(self.scanned_at) < EXPIRY_SCAN_INTERVAL {
             return;
         }
-        self.looked_at = now;
-        let mut forgotten = self.expired(now);
+        self.scanned_at = now;
+        let mut dropped = self.expired(now);
         if has_too_many {
-            forgotten.extend(self.oldest());
+            dropped.extend(self.oldest_excess());
         }
-        if forgotten.is_empty() {
+        if dropped.is_empty() {
             return;
         }
-        for id in &forgotten {
+        for id in &dropped {
             self.evidence.remove(id);
         }
         self.rebuild();
     }
 
-    /// The oldest evidence, as much as is too much.
-    fn oldest(&self) -> Vec<EvidenceId> {
+    /// The oldest evidence that exceeds the limit.
+    fn oldest_excess(&self) -> Vec<EvidenceId> {
         let mut by_age: Vec<_> = self.evidence.iter().collect();
-        by_age.sort_by_key(|(_, taken)| taken.at);
-        let mut left = self.suspicions.blames;
-        let is_too_much = |(_, taken): &(&EvidenceId, &Taken)| {
-            let is_too_much = left > BLAMES_LEFT;
-            left = left.saturating_sub(taken.evidence.blames().count());
-            is_too_much
+        by_age.sort_by_key(|(_, stored)| stored.at);
+        let mut remaining = self.suspicions.count;
+        let is_excess = |(_, stored): &(&EvidenceId, &StoredEvidence)| {
+            let is_excess = remaining > SUSPICIONS_AFTER_TRIM;
+            remaining = remaining.saturating_sub(stored.evidence.suspicions().count());
+            is_excess
         };
-        let oldest = by_age.into_iter().take_while(is_too_much);
-        oldest.map(|(id, _)| id.clone()).collect()
+        let oldest_excess = by_age.into_iter().take_while(is_excess);
+        oldest_excess.map(|(id, _)| id.clone()).collect()
     }
 
     fn rebuild(&mut self) {
         self.suspicions = Suspicions::default();
-        for taken in self.evidence.values() {
-            self.suspicions.add(&taken.evidence);
+        for stored in self.evidence.values() {
+            self.suspicions.add(&stored.evidence);
         }
     }
 
-    /// Works out who is to blame.
-    fn judge(&mut self, now: Duration) -> Vec<QuarantineChange> {
-        let guilty = self.suspicions.guilty();
+    /// Recomputes the culprits.
+    fn update_culprits(&mut self, now: Duration) -> Vec<QuarantineChange> {
+        let culprits = self.suspicions.culprits();
         let mut changes = Vec::new();
-        self.blamed.retain(|request, _| {
-            let stays = guilty.contains(request);
+        self.culprits.retain(|request, _| {
+            let stays = culprits.contains(request);
             if !stays {
                 changes.push(QuarantineChange::Released(*request));
             }
             stays
         });
-        for request in guilty {
-            if let Entry::Vacant(entry) = self.blamed.entry(request) {
+        for request in culprits {
+            if let Entry::Vacant(entry) = self.culprits.entry(request) {
                 entry.insert(now);
                 let servers = self.suspicions.servers[&request].iter().cloned();
                 changes.push(QuarantineChange::Quarantined(request, servers.collect()));
--- a/crates/core/src/process/quarantine/crash_evidence.rs
+++ b/crates/core/src/process/quarantine/crash_evidence.rs
@@ -1,4 +1,4 @@
-//! What one entry tells the others of crashed servers.
+//! Evidence of crashes that an entry publishes.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,33 +7,33 @@
 /// A server that crashed, and the requests that were lost with it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The life of the server that ended.
+    /// The incarnation of the server that crashed.
     pub server: ServerIncarnation,
-    /// Requests of the entry that it was running.
+    /// The entry's requests that were running there.
     pub suspects: Vec<RequestFingerprint>,
 }
 
-/// What an entry has seen of crashes since it last told the others.
+/// Crashes and completed runs that an entry has seen since it last published.
 ///
-/// All of it only adds up: the order in which entries learn of it changes nothing.
+/// Evidence is cumulative: the order in which entries receive it does not matter.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashEvidence {
     /// Servers that crashed.
     #[serde(default)]
     pub crashes: Vec<CrashReport>,
-    /// Suspected requests that ran to their end, each as often as it did.
+    /// Suspected requests that ran to completion, once per run.
     #[serde(default)]
     pub survivals: Vec<RequestFingerprint>,
 }
 
 impl CrashEvidence {
-    /// Whether there is nothing to tell.
+    /// Whether there is nothing to publish.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.survivals.is_empty()
     }
 
-    /// Adds a request that was lost with a server.
+    /// Adds a request that was lost in a server's crash.
     pub fn add_crash(&mut self, server: &ServerIncarnation, suspect: RequestFingerprint) {
         let known = self.crashes.iter_mut().find(|one| one.server == *server);
         if let Some(report) = known {
@@ -48,8 +48,8 @@
         });
     }
 
-    /// Requests that it blames, each with a server.
-    pub fn blames(&self) -> impl Iterator<Item = (RequestFingerprint, &ServerIncarnation)> {
+    /// Pairs of a suspected request and a crashed server.
+    pub fn suspicions(&self) -> impl Iterator<Item = (RequestFingerprint, &ServerIncarnation)> {
         self.crashes.iter().flat_map(|report| {
             let suspects = report.suspects.iter();
             suspects.map(|suspect| (*suspect, &report.server))
--- a/crates/core/src/process/quarantine/lost_runs.rs
+++ b/crates/core/src/process/quarantine/lost_runs.rs
@@ -1,34 +1,33 @@
-//! Runs that were lost at a server, until it is known whether the server crashed.
+//! Lost runs by server, until it is known whether the server crashed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use crate::id::{RequestFingerprint, ServerIncarnation};
 
-/// How long a lost run is remembered: a server that crashed leaves the list of servers within some
-/// heartbeats.
-const REMEMBERED: Duration = Duration::from_secs(12);
-/// Most runs that are remembered of one server.
-const MOST_OF_SERVER: usize = 1_000;
+/// How long a lost run is retained: a crashed server leaves the server list within some heartbeats.
+const RETENTION: Duration = Duration::from_secs(12);
+/// Largest number of lost runs per server.
+const MAX_RUNS_PER_SERVER: usize = 1_000;
 
-/// What a lost run asks for.
+/// What to do about a lost run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LossAction {
-    /// Look whether the server still listens.
+    /// Probe whether the server still listens.
     Probe,
-    /// That is being looked at.
+    /// Wait for a probe that is already running.
     Wait,
-    /// The server is known to have crashed: the run was lost with it.
+    /// Report the run as lost in the server's crash.
     Report,
 }
 
 #[derive(Debug, Clone, Default)]
-struct LostAt {
+struct ServerLosses {
     /// Lost since the server was last found listening.
     requests: BTreeSet<RequestFingerprint>,
-    /// Lost before; another life may have listened by then.
-    unsettled: BTreeSet<RequestFingerprint>,
-    last_at: Duration,
+    /// Lost before that; a new incarnation may have been listening by then.
+    earlier: BTreeSet<RequestFingerprint>,
+    last_lost_at: Duration,
     is_probed: bool,
     has_crashed: bool,
 }
@@ -36,11 +35,11 @@
 /// Lost runs by server.
 #[derive(Debug, Clone, Default)]
 pub struct LostRuns {
-    by_server: BTreeMap<ServerIncarnation, LostAt>,
+    by_server: BTreeMap<ServerIncarnation, ServerLosses>,
 }
 
 impl LostRuns {
-    /// Notes a run that ended without its whole answer because the connection ended.
+    /// Records a run that ended without a complete answer because the connection ended.
     pub fn record_loss(
         &mut self,
         server: &ServerIncarnation,
@@ -48,62 +47,64 @@
         now: Duration,
     ) -> LossAction {
         self.by_server
-            .retain(|_, lost| now.saturating_sub(lost.last_at) < REMEMBERED);
-        let lost = self.by_server.entry(server.clone()).or_default();
-        lost.last_at = now;
-        if lost.has_crashed {
+            .retain(|_, losses| now.saturating_sub(losses.last_lost_at) < RETENTION);
+        let losses = self.by_server.entry(server.clone()).or_default();
+        losses.last_lost_at = now;
+        if losses.has_crashed {
             return LossAction::Report;
         }
-        if lost.requests.len() < MOST_OF_SERVER {
-            lost.requests.insert(request);
+        if losses.requests.len() < MAX_RUNS_PER_SERVER {
+            losses.requests.insert(request);
         }
-        if std::mem::replace(&mut lost.is_probed, true) {
+        if std::mem::replace(&mut losses.is_probed, true) {
             LossAction::Wait
         } else {
             LossAction::Probe
         }
     }
 
-    /// Takes note that a server could not be found crashed: the next run that it loses is looked at anew.
+    /// Records that no crash of a server was found: its next lost run causes another probe.
     ///
-    /// Guards against a crash that nobody looks for, as the server had lost another run and lived on.
+    /// Guards against an undetected crash of a server that had lost another run before and
+    /// survived.
     pub fn mark_not_crashed(&mut self, server: &ServerIncarnation) {
-        if let Some(lost) = self.by_server.get_mut(server) {
-            lost.is_probed = false;
-            if lost.unsettled.len() < MOST_OF_SERVER {
-                lost.unsettled.append(&mut lost.requests);
+        if let Some(losses) = self.by_server.get_mut(server) {
+            losses.is_probed = false;
+            if losses.earlier.len() < MAX_RUNS_PER_SERVER {
+                losses.earlier.append(&mut losses.requests);
             }
         }
     }
 
-    /// Takes a server's crash for known; the requests whose runs were lost with it.
+    /// Records a server's crash; returns the requests whose runs were lost in it.
     pub fn mark_crashed(&mut self, server: &ServerIncarnation) -> BTreeSet<RequestFingerprint> {
-        let Some(lost) = self.by_server.get_mut(server) else {
+        let Some(losses) = self.by_server.get_mut(server) else {
             return BTreeSet::new();
         };
-        lost.has_crashed = true;
-        lost.unsettled.clear();
-        std::mem::take(&mut lost.requests)
+        losses.has_crashed = true;
+        losses.earlier.clear();
+        std::mem::take(&mut losses.requests)
     }
 
-    /// Takes a server for crashed that is listed no more; all requests whose runs it lost lately.
+    /// Treats a server that is not listed any more as crashed; returns all requests whose runs it
+    /// lost recently.
     pub fn mark_gone(&mut self, server: &ServerIncarnation) -> BTreeSet<RequestFingerprint> {
-        let unsettled = self.by_server.get_mut(server);
+        let losses = self.by_server.get_mut(server);
         let mut requests =
-            unsettled.map_or_else(BTreeSet::new, |lost| std::mem::take(&mut lost.unsettled));
+            losses.map_or_else(BTreeSet::new, |losses| std::mem::take(&mut losses.earlier));
         requests.append(&mut self.mark_crashed(server));
         requests
     }
 
-    /// Servers that lost runs and that a function names no more, as the list of servers has changed.
+    /// Servers with lost runs that are not listed any more.
     #[must_use]
     pub fn unlisted(
         &self,
         is_listed: impl Fn(&ServerIncarnation) -> bool,
     ) -> Vec<ServerIncarnation> {
-        let open = self.by_server.iter();
-        let open = open.filter(|(_, lost)| !lost.has_crashed);
-        let missing = open.filter(|(server, _)| !is_listed(server));
-        missing.map(|(server, _)| server.clone()).collect()
+        let not_crashed = self.by_server.iter();
+        let not_crashed = not_crashed.filter(|(_, losses)| !losses.has_crashed);
+        let unlisted = not_crashed.filter(|(server, _)| !is_listed(server));
+        unlisted.map(|(server, _)| server.clone()).collect()
     }
 }
--- a/crates/core/src/process/queued_attempt.rs
+++ b/crates/core/src/process/queued_attempt.rs
@@ -3,25 +3,25 @@
 use crate::id::{AttemptId, OrganisationId};
 use crate::unit::{Class, SidecarClock, Weight};
 
-/// What the queue needs to know of an attempt.
+/// Data of an attempt that the queue needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QueuedAttempt {
-    /// Attempt that waits.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// Organisation that it works for.
+    /// Organisation for which it runs.
     pub organisation: OrganisationId,
     /// Class of that organisation.
     pub class: Class,
-    /// Share of that organisation within its class.
+    /// Weight of that organisation within its class.
     pub weight: Weight,
-    /// Point on the sidecar's clock after which its answer is useless.
+    /// Time on the sidecar's clock after which its answer is useless.
     pub expiry: SidecarClock,
-    /// Time that it is expected to spend at the backend server.
+    /// Expected time at the backend server.
     pub expected_ms: u64,
 }
 
 impl QueuedAttempt {
-    /// Last point at which it can start and still end before its expiry.
+    /// Latest time at which it can start and still end before its expiry.
     #[must_use]
     pub const fn latest_start(&self) -> SidecarClock {
         SidecarClock::from_millis(self.expiry.as_millis().saturating_sub(self.expected_ms))
@@ -29,7 +29,7 @@
 
     /// Whether it would still end before its expiry if it started now.
     #[must_use]
-    pub const fn can_make_it(&self, now: SidecarClock) -> bool {
+    pub const fn can_meet_expiry(&self, now: SidecarClock) -> bool {
         let end_ms = now.as_millis().saturating_add(self.expected_ms);
         end_ms <= self.expiry.as_millis()
     }
--- a/crates/core/src/process/rank.rs
+++ b/crates/core/src/process/rank.rs
@@ -1,8 +1,8 @@
-//! How urgent a request is against others.
+//! Urgency of a request relative to others.
 
 use serde::{Deserialize, Serialize};
 
-/// Urgency by those who may say so: the organisation's first, among equals the route's.
+/// Urgency as set by operators: by organisation first, then by route.
 ///
 /// Zero is the most urgent in both.
 ///
@@ -15,8 +15,8 @@
 /// ```
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Rank {
-    /// What operators gave the organisation.
+    /// Rank of the organisation.
     pub organisation: u8,
-    /// What operators gave the route.
+    /// Rank of the route.
     pub route: u8,
 }
--- a/crates/core/src/process/recent_sends.rs
+++ b/crates/core/src/process/recent_sends.rs
@@ -1,4 +1,4 @@
-//! What one process has sent to servers that all processes together may send so much.
+//! Sends of this process to servers whose send rate is limited for all processes together.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use super::send_share::{SendShare, WINDOW};
 use crate::id::ServerIncarnation;
 
-/// Sends of one process to such servers in the last spans.
+/// Recent sends of one process, by server.
 ///
 /// # Examples
 ///
@@ -26,68 +26,70 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct RecentSends {
-    by_server: BTreeMap<ServerIncarnation, Recent>,
+    by_server: BTreeMap<ServerIncarnation, ServerSends>,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Recent {
-    /// When requests were given this server, which leave for it later.
+struct ServerSends {
+    /// When the server was chosen for requests, which are sent later.
     chosen_at: VecDeque<Duration>,
     sent_at: VecDeque<Duration>,
 }
 
 impl RecentSends {
-    /// Whether one more request may be given a server, as far as choices of the last span go.
+    /// Whether the server may be chosen for one more request, given the choices in the last window.
     #[must_use]
     pub fn can_choose(&self, server: &ServerIncarnation, share: SendShare, now: Duration) -> bool {
-        let recent = self.by_server.get(server);
-        recent.map_or(0, |recent| within(&recent.chosen_at, share, now)) < share.sends
+        let sends = self.by_server.get(server);
+        sends.map_or(0, |sends| count_within(&sends.chosen_at, share, now)) < share.sends
     }
 
-    /// Counts a choice of a server.
+    /// Records a choice of a server.
     pub fn record_choice(&mut self, server: &ServerIncarnation, share: SendShare, now: Duration) {
-        let recent = self.by_server.entry(server.clone()).or_default();
-        forget(&mut recent.chosen_at, share.window, now);
-        recent.chosen_at.push_back(now);
+        let sends = self.by_server.entry(server.clone()).or_default();
+        drop_expired(&mut sends.chosen_at, share.window, now);
+        sends.chosen_at.push_back(now);
     }
 
-    /// Takes one send, asked for as its bytes leave; false if the share is used up.
+    /// Takes one send from the share, directly before the bytes are sent; false if the share is
+    /// used up.
     ///
-    /// Guards against requests that were chosen at different times and leave together, as when
-    /// pieces of many come at once or a frozen process wakes: choices alone would keep no bound.
+    /// Guards against requests that were chosen at different times and are sent together, as when
+    /// pieces of many requests complete at once or a frozen process resumes: limiting choices alone
+    /// would not limit sends.
     pub fn try_send(
         &mut self,
         server: &ServerIncarnation,
         share: SendShare,
         now: Duration,
     ) -> bool {
-        let recent = self.by_server.entry(server.clone()).or_default();
-        forget(&mut recent.sent_at, share.window, now);
-        if recent.sent_at.len() >= share.sends {
+        let sends = self.by_server.entry(server.clone()).or_default();
+        drop_expired(&mut sends.sent_at, share.window, now);
+        if sends.sent_at.len() >= share.sends {
             return false;
         }
-        recent.sent_at.push_back(now);
+        sends.sent_at.push_back(now);
         true
     }
 
-    /// Counts a send to a server that is not known to be cold, if it may be one day.
+    /// Records a send to a server that is not known to be cold, but may become so.
     ///
-    /// Guards against a server that becomes cold at once: what it was sent in the second before its
-    /// word came counts for it as well.
+    /// Guards against a server that becomes cold suddenly: what it was sent in the second before
+    /// its report arrived also counts.
     pub fn record_send(&mut self, server: &ServerIncarnation, now: Duration) {
-        let recent = self.by_server.entry(server.clone()).or_default();
-        forget(&mut recent.sent_at, WINDOW, now);
-        recent.sent_at.push_back(now);
+        let sends = self.by_server.entry(server.clone()).or_default();
+        drop_expired(&mut sends.sent_at, WINDOW, now);
+        sends.sent_at.push_back(now);
     }
 
-    /// Whether one more send may leave now.
+    /// Whether one more send is allowed now.
     #[must_use]
     pub fn can_send(&self, server: &ServerIncarnation, share: SendShare, now: Duration) -> bool {
-        let recent = self.by_server.get(server);
-        recent.map_or(0, |recent| within(&recent.sent_at, share, now)) < share.sends
+        let sends = self.by_server.get(server);
+        sends.map_or(0, |sends| count_within(&sends.sent_at, share, now)) < share.sends
     }
 
-    /// When one more request may be given a server; none if never by this share.
+    /// When the server may be chosen for one more request; none if the share never allows it.
     #[must_use]
     pub fn next_choice_at(
         &self,
@@ -98,35 +100,36 @@
         if share.sends == 0 {
             return None;
         }
-        let Some(recent) = self.by_server.get(server) else {
+        let Some(sends) = self.by_server.get(server) else {
             return Some(now);
         };
-        // The oldest of the newest ones that fill the share makes room when it leaves the span.
-        let place = |times: &VecDeque<Duration>| {
-            let filling = times.iter().rev().nth(share.sends - 1);
-            filling.map_or(now, |at| (*at + share.window).max(now))
+        // Among the newest times that fill the share, the oldest frees its place when it leaves the
+        // window.
+        let next_at = |times: &VecDeque<Duration>| {
+            let oldest_counted = times.iter().rev().nth(share.sends - 1);
+            oldest_counted.map_or(now, |at| (*at + share.window).max(now))
         };
-        Some(place(&recent.chosen_at).max(place(&recent.sent_at)))
+        Some(next_at(&sends.chosen_at).max(next_at(&sends.sent_at)))
     }
 
-    /// Forgets servers whose sends are bounded no longer.
+    /// Removes servers whose send rate is not limited any more.
     pub fn retain(&mut self, is_bounded: impl Fn(&ServerIncarnation) -> bool) {
         self.by_server.retain(|server, _| is_bounded(server));
     }
 }
 
-fn forget(times: &mut VecDeque<Duration>, span: Duration, now: Duration) {
+fn drop_expired(times: &mut VecDeque<Duration>, window: Duration, now: Duration) {
     while times
         .front()
-        .is_some_and(|at| now.saturating_sub(*at) >= span)
+        .is_some_and(|at| now.saturating_sub(*at) >= window)
     {
         times.pop_front();
     }
 }
 
-fn within(times: &VecDeque<Duration>, share: SendShare, now: Duration) -> usize {
-    // The newest are last; a span holds the moment at its end but not the one at its start.
-    let recent = times.iter().rev();
-    let recent = recent.take_while(|at| now.saturating_sub(**at) < share.window);
-    recent.count()
+fn count_within(times: &VecDeque<Duration>, share: SendShare, now: Duration) -> usize {
+    // The newest are last; a window includes the time at its end but not the one at its start.
+    let sends = times.iter().rev();
+    let sends = sends.take_while(|at| now.saturating_sub(**at) < share.window);
+    sends.count()
 }
--- a/crates/core/src/process/refusal.rs
+++ b/crates/core/src/process/refusal.rs
@@ -1,20 +1,20 @@
-//! A refusal of work that did not run.
+//! Refusal of work that did not run.
 
 use std::fmt;
 
 use crate::ResultCode;
 
-/// Says why work was not run, and when to ask again.
+/// Why work was refused, and when to retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Numbered reason.
+    /// Result code.
     pub code: ResultCode,
-    /// Time after which asking again makes sense.
+    /// Time after which a retry makes sense.
     pub retry_after_ms: u64,
 }
 
 impl Refusal {
-    /// Refuses with a reason and a time to come back.
+    /// A refusal with a code and a retry delay.
     #[must_use]
     pub const fn new(code: ResultCode, retry_after_ms: u64) -> Self {
         Self {
--- a/crates/core/src/process/rendezvous.rs
+++ b/crates/core/src/process/rendezvous.rs
@@ -1,4 +1,5 @@
-//! Rendezvous hashing: the same choice everywhere, moved little when a host comes or goes.
+//! Rendezvous hashing: the same choice at every process, with few changes when a host is added or
+//! removed.
 
 /// Offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
--- a/crates/core/src/process/retry_budget.rs
+++ b/crates/core/src/process/retry_budget.rs
@@ -1,15 +1,15 @@
-//! A bound on repeated work.
+//! Limits retries to a fraction of first attempts.
 //!
-//! Without a bound, a wave of refusals turns every request into several, and the system stays
-//! overloaded by its own retries after the cause has gone. A budget in proportion to first tries
-//! keeps that extra load at a few percent whatever fails.
+//! Without a limit, a burst of refusals turns every request into several, and the system stays
+//! overloaded by its own retries after the cause is gone. A budget in proportion to first attempts
+//! keeps that extra load at a few percent, whatever fails.
 
-/// Hundredths of a retry in a whole one.
+/// Hundredths per retry.
 const CENTS: u64 = 100;
-/// Retries that may be saved up: enough to pass over one lost server, too few for a storm.
+/// Retries that can accumulate: enough to get past one lost server, too few for a retry storm.
 const MAX_SAVED_RETRIES: u64 = 10;
 
-/// Retries, or hedges, that first tries have earned.
+/// Retries, or hedges, that first attempts have earned.
 ///
 /// # Examples
 ///
@@ -31,7 +31,7 @@
 }
 
 impl RetryBudget {
-    /// A budget of so many retries per hundred first tries.
+    /// A budget with the given number of retries per hundred first attempts.
     #[must_use]
     pub const fn new(percent: u32) -> Self {
         let saved_cents = if percent == 0 {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Counts a first try, which earns its share of a retry.
+    /// Counts a first attempt, which earns its fraction of a retry.
     pub fn first_try(&mut self) {
         let earned = self.saved_cents + u64::from(self.percent);
         self.saved_cents = earned.min(MAX_SAVED_RETRIES * CENTS);
--- a/crates/core/src/process/router.rs
+++ b/crates/core/src/process/router.rs
@@ -1,10 +1,10 @@
 //! Chooses a host for each attempt.
 //!
-//! An entry uses a stable subset of each service's hosts. Of two drawn from it, its own
-//! availability zone first, it takes the less loaded by its own count in flight and by the last
-//! report. Two random draws bound what a wrong report can do: a host that looks idle still gets
-//! no more than its chance of being drawn. Hosts that fail or straggle are ejected for a while,
-//! never more than a third of a service, and one request that may be repeated brings each back.
+//! An entry uses a stable subset of each service's hosts. It samples two of them, from its own
+//! availability zone first, and takes the less loaded one by its own count in flight and by the
+//! last report. The random sample limits the effect of a wrong report: a host that looks idle still
+//! gets no more than its chance of being sampled. Hosts that fail or straggle are ejected for a
+//! while, never more than a third of a service, and one repeatable request readmits each of them.
 
 mod ejection;
 
@@ -15,7 +15,7 @@
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 
-use super::host_track::HostTrack;
+use super::host_tracker::HostTracker;
 use super::server_availability::ServerAvailability;
 use super::{AttemptEnd, Refusal, RouterSettings, StageEstimate, rendezvous};
 use crate::ResultCode;
@@ -23,12 +23,12 @@
 use crate::unit::{Class, SidecarClock};
 use crate::wire::{HostList, HostRecord, Stamp};
 
-/// Time to come back when no host is left: about one change of the host list.
+/// Retry delay when no host is available: about one change of the host list.
 const NO_HOST_RETRY_AFTER_MS: u64 = 1_000;
-/// Load above the average at which a request leaves the host that holds its prefix.
+/// Load above the average from which a request is not sent to the host that holds its prefix.
 const AFFINITY_SLACK: f64 = 0.5;
 
-/// Hosts of all services, as one entry sees them.
+/// Hosts of all services, as seen by one entry.
 ///
 /// # Examples
 ///
@@ -59,13 +59,13 @@
     seed: u64,
     random: SmallRng,
     list_version: u64,
-    hosts: BTreeMap<HostId, HostTrack>,
+    hosts: BTreeMap<HostId, HostTracker>,
     subsets: BTreeMap<ServiceId, Vec<HostId>>,
     evacuated: BTreeSet<ZoneId>,
 }
 
 impl Router {
-    /// A router without hosts; entries need different seeds.
+    /// A router without hosts; each entry needs its own seed.
     #[must_use]
     pub fn new(settings: RouterSettings, seed: u64) -> Self {
         Self {
@@ -79,23 +79,23 @@
         }
     }
 
-    /// Takes in a host list; one older than the last is passed over.
+    /// Replaces the host list, unless the given one is older.
     pub fn set_hosts(&mut self, hosts: &HostList, now: Duration) {
         if hosts.version < self.list_version {
             return;
         }
         self.list_version = hosts.version;
-        let mut former = std::mem::take(&mut self.hosts);
+        let mut previous = std::mem::take(&mut self.hosts);
         for record in hosts.hosts.iter().filter(|record| record.service.is_some()) {
-            let track = former.remove(&record.host);
-            let mut track = track.unwrap_or_else(|| HostTrack::new(record.clone(), now));
-            track.record = record.clone();
-            self.hosts.insert(record.host.clone(), track);
+            let tracker = previous.remove(&record.host);
+            let mut tracker = tracker.unwrap_or_else(|| HostTracker::new(record.clone(), now));
+            tracker.record = record.clone();
+            self.hosts.insert(record.host.clone(), tracker);
         }
         self.choose_subsets();
     }
 
-    /// Sends nothing more to the hosts of these availability zones, until others are named.
+    /// Replaces the evacuated availability zones, whose hosts get no work.
     pub fn set_evacuated(&mut self, zones: &BTreeSet<ZoneId>) {
         if self.evacuated != *zones {
             self.evacuated.clone_from(zones);
@@ -103,38 +103,38 @@
         }
     }
 
-    /// What may be sent to a host now, as far as the host list, its own word and the operators go.
+    /// Availability of a host, by the host list, its own report and the operators' evacuations.
     #[must_use]
     pub fn availability(&self, host: &HostId) -> ServerAvailability {
-        let track = self.hosts.get(host);
-        track.map_or(ServerAvailability::Unlisted, |track| {
-            self.use_of_track(track)
+        let tracker = self.hosts.get(host);
+        tracker.map_or(ServerAvailability::Unlisted, |tracker| {
+            self.availability_of(tracker)
         })
     }
 
-    fn use_of_track(&self, track: &HostTrack) -> ServerAvailability {
-        if self.evacuated.contains(&track.record.zone) {
+    fn availability_of(&self, tracker: &HostTracker) -> ServerAvailability {
+        if self.evacuated.contains(&tracker.record.zone) {
             ServerAvailability::Evacuated
-        } else if track.is_leaving() {
+        } else if tracker.is_leaving() {
             ServerAvailability::Leaving
         } else {
             ServerAvailability::Free
         }
     }
 
-    /// Takes in the stamp of a host.
+    /// Records the stamp of a host.
     pub fn observe(&mut self, host: &HostId, stamp: &Stamp, now: Duration) {
-        let Some(track) = self.hosts.get_mut(host) else {
+        let Some(tracker) = self.hosts.get_mut(host) else {
             return;
         };
-        let was_leaving = track.is_leaving();
-        track.observe(stamp, now);
-        if track.is_leaving() != was_leaving {
+        let was_leaving = tracker.is_leaving();
+        tracker.observe(stamp, now);
+        if tracker.is_leaving() != was_leaving {
             self.choose_subsets();
         }
     }
 
-    /// Chooses a host of a service, outside those excluded, for a call that may be repeated.
+    /// Chooses a host of a service, except the excluded ones, for a call that may be repeated.
     pub fn choose(
         &mut self,
         service: &ServiceId,
@@ -145,8 +145,8 @@
         self.choose_for(service, exclude, affinity, true, now)
     }
 
-    /// Chooses a host as [`choose`](Self::choose) does; a call that may not be repeated never
-    /// serves as the probe of an ejected host.
+    /// Chooses a host as [`choose`](Self::choose) does; a call that may not be repeated is never
+    /// used to probe an ejected host.
     pub fn choose_for(
         &mut self,
         service: &ServiceId,
@@ -155,36 +155,39 @@
         is_repeatable: bool,
         now: Duration,
     ) -> Result<HostId, Refusal> {
-        // Guards against a settlement lost at a host that is known to fail: its caller would get
-        // "outcome unknown" with healthy hosts at hand. A probe that may be repeated is tried again
-        // elsewhere instead, so only such calls find out whether the host is well.
+        // Guards against a settlement that is lost at a host known to fail: its caller would get
+        // "outcome unknown" although healthy hosts are available. A repeatable probe is retried
+        // elsewhere instead, so only such calls probe the host.
         if is_repeatable && let Some(host) = self.due_for_probe(service, exclude, now) {
             return Ok(host);
         }
         let usable = self.usable(service, exclude, now);
         if usable.is_empty() {
-            return Err(Refusal::new(self.why_none(service), NO_HOST_RETRY_AFTER_MS));
+            return Err(Refusal::new(
+                self.no_host_code(service),
+                NO_HOST_RETRY_AFTER_MS,
+            ));
         }
         let holder = affinity.and_then(|prefix| self.prefix_holder(&usable, prefix, now));
         let chosen = holder.or_else(|| self.less_loaded(&usable, now));
         chosen.ok_or_else(|| Refusal::new(ResultCode::NoBackendServer, NO_HOST_RETRY_AFTER_MS))
     }
 
-    /// Notes that an attempt was sent to a host.
+    /// Records that an attempt was sent to a host.
     pub fn started(&mut self, host: &HostId, now: Duration) {
-        if let Some(track) = self.hosts.get_mut(host) {
-            track.started(now);
+        if let Some(tracker) = self.hosts.get_mut(host) {
+            tracker.started(now);
         }
     }
 
-    /// Notes how an attempt at a host ended.
+    /// Records how an attempt at a host ended.
     pub fn ended(&mut self, host: &HostId, end: AttemptEnd, elapsed: Duration, now: Duration) {
-        let Some(track) = self.hosts.get_mut(host) else {
+        let Some(tracker) = self.hosts.get_mut(host) else {
             return;
         };
-        track.ended(end, elapsed, now);
+        tracker.ended(end, elapsed, now);
         if self.settings.has_ejection {
-            self.judge(host, end, elapsed, now);
+            self.update_health(host, end, elapsed, now);
         }
     }
 
@@ -193,7 +196,7 @@
     pub fn estimate(&self, service: &ServiceId, class: Class, now: Duration) -> StageEstimate {
         let hosts = self.usable(service, &[], now);
         let tracks = hosts.iter().filter_map(|host| self.hosts.get(host));
-        let estimates = tracks.filter_map(|track| track.estimate(class, now, &self.settings));
+        let estimates = tracks.filter_map(|tracker| tracker.estimate(class, now, &self.settings));
         let (mut queues, mut services): (Vec<_>, Vec<_>) = estimates
             .map(|estimate| (estimate.queue_ms, estimate.service_ms))
             .unzip();
@@ -206,23 +209,23 @@
     /// The host list's record of a host.
     #[must_use]
     pub fn host(&self, host: &HostId) -> Option<&HostRecord> {
-        self.hosts.get(host).map(|track| &track.record)
+        self.hosts.get(host).map(|tracker| &tracker.record)
     }
 
-    /// Life of a host's sidecar, its clock at the last stamp, and when that stamp came.
+    /// Incarnation of a host's sidecar, its clock at the last stamp, and when that stamp arrived.
     #[must_use]
     pub fn incarnation(&self, host: &HostId) -> Option<(Incarnation, SidecarClock, Duration)> {
-        let seen = self.hosts.get(host)?.seen?;
-        Some((seen.incarnation, seen.clock, seen.at))
+        let last_stamp = self.hosts.get(host)?.last_stamp?;
+        Some((last_stamp.incarnation, last_stamp.clock, last_stamp.at))
     }
 
-    /// Hosts of a service that this entry now leaves out.
+    /// Ejected hosts of a service.
     pub fn ejected(&self, service: &ServiceId) -> impl Iterator<Item = &HostId> {
         let subset = self.subsets.get(service).into_iter().flatten();
-        subset.filter(|host| self.hosts.get(*host).is_some_and(HostTrack::is_out))
+        subset.filter(|host| self.hosts.get(*host).is_some_and(HostTracker::is_ejected))
     }
 
-    /// Hosts of a service that this entry uses, those ejected among them.
+    /// Hosts of a service that this entry uses, including ejected ones.
     pub fn subset(&self, service: &ServiceId) -> impl Iterator<Item = &HostId> {
         self.subsets.get(service).into_iter().flatten()
     }
@@ -230,12 +233,12 @@
     fn choose_subsets(&mut self) {
         let mut by_service: BTreeMap<ServiceId, Vec<HostId>> = BTreeMap::new();
         let hosts = self.hosts.values();
-        for track in hosts.filter(|track| self.use_of_track(track).is_usable()) {
-            if let Some(service) = &track.record.service {
+        for tracker in hosts.filter(|tracker| self.availability_of(tracker).is_usable()) {
+            if let Some(service) = &tracker.record.service {
                 by_service
                     .entry(service.clone())
                     .or_default()
-                    .push(track.record.host.clone());
+                    .push(tracker.record.host.clone());
             }
         }
         for hosts in by_service.values_mut() {
@@ -246,13 +249,13 @@
         self.readmit_above_cap();
     }
 
-    /// Why a service has no host: all are evacuated, or none is there.
-    fn why_none(&self, service: &ServiceId) -> ResultCode {
+    /// Result code if a service has no usable host: all are evacuated, or there is none.
+    fn no_host_code(&self, service: &ServiceId) -> ResultCode {
         let of_service = self.hosts.values();
         let mut of_service =
-            of_service.filter(|track| track.record.service.as_ref() == Some(service));
+            of_service.filter(|tracker| tracker.record.service.as_ref() == Some(service));
         let is_evacuated =
-            |track: &HostTrack| self.use_of_track(track) == ServerAvailability::Evacuated;
+            |tracker: &HostTracker| self.availability_of(tracker) == ServerAvailability::Evacuated;
         if self.subset(service).next().is_none() && of_service.any(is_evacuated) {
             ResultCode::ZonesEvacuated
         } else {
@@ -263,15 +266,15 @@
     fn usable(&self, service: &ServiceId, exclude: &[HostId], now: Duration) -> Vec<HostId> {
         let healthy: Vec<_> = self
             .subset(service)
-            .filter(|host| !exclude.contains(host) && !self.hosts[*host].is_out())
+            .filter(|host| !exclude.contains(host) && !self.hosts[*host].is_ejected())
             .cloned()
             .collect();
         let answering: Vec<_> = healthy
             .iter()
-            .filter(|host| !self.hosts[*host].is_silent(now, &self.settings))
+            .filter(|host| !self.hosts[*host].is_unresponsive(now, &self.settings))
             .cloned()
             .collect();
-        // All silent at once says more about this entry than about the hosts.
+        // If no host responds, the cause is more likely this entry than the hosts.
         if answering.is_empty() {
             healthy
         } else {
@@ -295,7 +298,7 @@
         Some(due)
     }
 
-    /// The host that likely holds a prefix, unless it is busier than the others.
+    /// The host that probably holds a prefix, unless it is busier than the others.
     fn prefix_holder(&self, hosts: &[HostId], prefix: u64, now: Duration) -> Option<HostId> {
         let holder = hosts
             .iter()
@@ -307,13 +310,13 @@
     }
 
     fn less_loaded(&mut self, hosts: &[HostId], now: Duration) -> Option<HostId> {
-        let near: Vec<_> = hosts
+        let in_own_zone: Vec<_> = hosts
             .iter()
-            .filter(|host| self.is_near(host))
+            .filter(|host| self.is_in_own_zone(host))
             .cloned()
             .collect();
-        let nearest = self.less_loaded_of_two(&near, now);
-        match nearest {
+        let closest = self.less_loaded_of_two(&in_own_zone, now);
+        match closest {
             Some(host) if self.load(&host, now) < self.settings.spill_load => Some(host),
             _ => self.less_loaded_of_two(hosts, now),
         }
@@ -321,16 +324,18 @@
 
     fn less_loaded_of_two(&mut self, hosts: &[HostId], now: Duration) -> Option<HostId> {
         let candidates = if self.settings.has_two_choices { 2 } else { 1 };
-        let drawn: Vec<_> = hosts
+        let sampled: Vec<_> = hosts
             .sample(&mut self.random, candidates)
             .cloned()
             .collect();
-        let usual_ms = self.median_ms(hosts.iter()).unwrap_or(1.0);
-        let cost = |host: &HostId| self.cost(host, usual_ms, now);
-        drawn.into_iter().min_by(|a, b| cost(a).total_cmp(&cost(b)))
+        let typical_ms = self.median_ms(hosts.iter()).unwrap_or(1.0);
+        let cost = |host: &HostId| self.cost(host, typical_ms, now);
+        sampled
+            .into_iter()
+            .min_by(|a, b| cost(a).total_cmp(&cost(b)))
     }
 
-    fn is_near(&self, host: &HostId) -> bool {
+    fn is_in_own_zone(&self, host: &HostId) -> bool {
         self.hosts[host].record.zone == self.settings.own_zone
     }
 
@@ -338,14 +343,14 @@
         self.hosts[host].load_per_slot(now, &self.settings)
     }
 
-    /// Load with a host's own speed: a slow host is worse at the same load.
+    /// Load weighted by the host's speed: at the same load, a slow host costs more.
     ///
-    /// A host that was not yet timed counts as a usual one; taken for a fast one, it would draw
-    /// everyone as soon as it appears.
-    fn cost(&self, host: &HostId, usual_ms: f64, now: Duration) -> f64 {
-        let track = &self.hosts[host];
-        let speed_ms = track.smoothed_ms().unwrap_or(usual_ms).max(1.0);
-        let refusal_factor = track.refusal_factor(now, &self.settings);
+    /// A host without samples counts as a typical one; if it counted as fast, it would attract all
+    /// entries as soon as it appears.
+    fn cost(&self, host: &HostId, typical_ms: f64, now: Duration) -> f64 {
+        let tracker = &self.hosts[host];
+        let speed_ms = tracker.smoothed_ms().unwrap_or(typical_ms).max(1.0);
+        let refusal_factor = tracker.refusal_factor(now, &self.settings);
         (self.load(host, now) + 1.0) * speed_ms * refusal_factor
     }
 
--- a/crates/core/src/process/server_availability.rs
+++ b/crates/core/src/process/server_availability.rs
@@ -1,8 +1,8 @@
-//! Whether a backend server may be used now, how much, and by whose word it may not.
+//! Whether and how much a backend server may be used now, and the reason if not.
 //!
-//! One answer for all that send: plain requests, streams, repeats and calls for pieces. The list of
-//! servers gives it from what the platform and the operators say; what an entry learns by its own
-//! sends is in [`ServerSelector`](super::BackendChoice).
+//! The same answer applies to all sends: plain requests, streams, retries and calls for pieces. The
+//! server list derives it from the platform's listing and the operators' settings; what an entry
+//! learns from its own sends is in [`ServerSelector`](super::ServerSelector).
 
 use std::time::Duration;
 
@@ -12,30 +12,30 @@
 /// What may be sent to a server now.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ServerAvailability {
-    /// Any request.
+    /// Any requests.
     Free,
-    /// Few requests until a time: it has just started, or its zone was just taken back.
+    /// A limited rate until a time: it has just started, or its zone was just taken back.
     Cold {
-        /// When it takes any request again, by the clock of the process.
+        /// When it accepts any requests again, by the clock of the process.
         until: Duration,
         /// Requests that may reach it in any second, from all entries together.
         max_per_s: f64,
     },
-    /// Few requests: it is in need and says how many it takes.
+    /// A limited rate, which the server has reported.
     Limited {
-        /// Requests a second that it takes from all entries together.
+        /// Requests per second that it accepts from all entries together.
         max_per_s: f64,
     },
-    /// Nothing: it says that it leaves.
+    /// Nothing: it is about to leave.
     Leaving,
     /// Nothing: operators have evacuated its availability zone.
     Evacuated,
-    /// Nothing: the list names no such life of a server.
+    /// Nothing: this incarnation of a server is not listed.
     Unlisted,
 }
 
 impl ServerAvailability {
-    /// The bound on the sum of what all entries send, where there is one.
+    /// The limit on the sum of all entries' sends, if there is one.
     #[must_use]
     pub const fn rate_limit(self) -> Option<SendRateLimit> {
         match self {
@@ -45,13 +45,13 @@
         }
     }
 
-    /// Whether any request may be sent, be it a few a second.
+    /// Whether any requests may be sent, even at a limited rate.
     #[must_use]
     pub const fn is_usable(self) -> bool {
         matches!(self, Self::Free | Self::Cold { .. } | Self::Limited { .. })
     }
 
-    /// Name in lines and counters.
+    /// Name in log lines and counters.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -68,9 +68,9 @@
 /// Servers of a service that a request may be sent to.
 #[derive(Debug, Clone, Default)]
 pub struct UsableServers<'a> {
-    /// Those that take any request, and limited ones to which this entry may send one more now.
+    /// Those without a limit, and limited ones to which this entry may send one more request now.
     pub free: Vec<&'a ServerRecord>,
-    /// Cold ones to which this entry may send one more now.
+    /// Cold ones to which this entry may send one more request now.
     pub cold: Vec<&'a ServerRecord>,
 }
 
--- a/crates/core/src/process/server_limit.rs
+++ b/crates/core/src/process/server_limit.rs
@@ -1,4 +1,4 @@
-//! Requests a second that a server in need takes.
+//! Rate limit that an overloaded server reports.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,26 +6,26 @@
 use quick_error::quick_error;
 use serde_with::{DeserializeFromStr, SerializeDisplay};
 
-/// Rate below which none is kept to: a server that would take nothing is asked from time to time, as
-/// only its answers tell that it takes more again.
-const LEAST_PER_S: f64 = 0.1;
-/// Rate beyond any server's: more is no limit.
-const MOST_PER_S: f64 = 1e6;
-/// Part of a limit by which another one differs that is worth a word to others.
-const DIFFERENCE: f64 = 0.1;
+/// Smallest rate that is used: a server that reports less still gets a request from time to time,
+/// as only its answers show that it accepts more again.
+const MIN_PER_S: f64 = 0.1;
+/// Rate above any server's capacity: more is no limit.
+const MAX_PER_S: f64 = 1e6;
+/// Relative difference up to which two limits count as the same and are not published again.
+const SIMILARITY_TOLERANCE: f64 = 0.1;
 
 quick_error! {
-    /// A text that names no limit.
+    /// A text that is not a limit.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum InvalidServerLimit {
-        /// No number, or none that counts requests.
-        NoRate(text: String) {
-            display("the limit {text:?} is no rate: give requests a second, from 0 on")
+        /// Not a number, or not a valid rate.
+        NotARate(text: String) {
+            display("the limit {text:?} is not a rate: use requests per second, 0 or more")
         }
     }
 }
 
-/// Requests a second that a server says it takes from all entries together.
+/// Requests per second that a server accepts from all entries together.
 ///
 /// # Examples
 ///
@@ -41,17 +41,18 @@
 pub struct ServerLimit(f64);
 
 impl ServerLimit {
-    /// Requests a second that may reach the server: what it says, and no less than one in ten seconds.
+    /// Requests per second that may reach the server: the reported number, but at least one in ten
+    /// seconds.
     #[must_use]
     pub const fn per_s(self) -> f64 {
-        self.0.clamp(LEAST_PER_S, MOST_PER_S)
+        self.0.clamp(MIN_PER_S, MAX_PER_S)
     }
 
-    /// Whether another limit is much the same.
+    /// Whether another limit is about the same.
     #[must_use]
-    pub fn is_about(self, other: Self) -> bool {
+    pub fn is_close_to(self, other: Self) -> bool {
         let (one, other) = (self.per_s(), other.per_s());
-        (one - other).abs() <= one.max(other) * DIFFERENCE
+        (one - other).abs() <= one.max(other) * SIMILARITY_TOLERANCE
     }
 }
 
@@ -69,6 +70,6 @@
         let per_s = per_s.filter(|per_s| per_s.is_finite() && *per_s >= 0.0);
         per_s
             .map(Self)
-            .ok_or_else(|| InvalidServerLimit::NoRate(text.to_owned()))
+            .ok_or_else(|| InvalidServerLimit::NotARate(text.to_owned()))
     }
 }
--- a/crates/core/src/process/server_list.rs
+++ b/crates/core/src/process/server_list.rs
@@ -1,16 +1,16 @@
-//! The backend servers as the platform lists them.
+//! The backend servers as listed by the platform.
 //!
-//! A server that is leaving or gone takes nothing more at once. One that lapsed while the store was
-//! away may only have been unable to say that it lives, so it is kept for a short grace after the
-//! store's return.
+//! A server that is leaving or gone gets no more requests at once. A server whose listing expired
+//! during an outage of the store may only have been unable to renew it, so it is retained for a
+//! short grace period after the store's return.
 //!
-//! Others may write to the list. An entry that cannot be read names no server, also where a good
-//! one stood under its id; the others hold. Where the platform tells servers' starts, an entry
-//! without one is another writer's too.
+//! Other programs may write to the list. An unreadable record removes the server of that id, even
+//! if its earlier record was readable; other records are unaffected. Where the platform lists start
+//! times, a record without one was also written by another program.
 //!
-//! Operators may evacuate an availability zone: until it is taken back, none of its servers takes
-//! anything. A server tells how long it stays cold; those of a zone that was just taken back are
-//! taken for cold, as their entries tell it too late.
+//! Operators may evacuate an availability zone: until it is taken back, its servers get no
+//! requests. A server reports how long it stays cold; servers of a zone that was just taken back
+//! are assumed to be cold, as their records report it too late.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,17 +20,17 @@
 use super::cold_times::ColdTimes;
 use super::server_availability::ServerAvailability;
 use super::server_limit::ServerLimit;
-use super::zone_uses::{ZoneChange, ZoneState, ZoneUses};
+use super::zone_states::{ZoneChange, ZoneState, ZoneStates};
 use crate::id::{RowVersion, ServerId, ServerIncarnation, ServiceId, ZoneId};
 
-/// How long a server that lapsed in an outage may take to come back.
-/// Source: the platform writes entries again about 2 s after the store's return.
+/// Grace period in which a server whose listing expired during an outage may be listed again.
+/// Source: the platform writes records again about 2 s after the store's return.
 pub const EXPIRY_GRACE: Duration = Duration::from_secs(2);
 
 /// One backend server as the platform lists it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerRecord {
-    /// This life of the server.
+    /// Incarnation of the server.
     pub incarnation: ServerIncarnation,
     /// Service that it belongs to.
     pub service: ServiceId,
@@ -38,27 +38,27 @@
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Requests that it works on at once.
+    /// Requests that it processes at once.
     pub slots: usize,
     /// Whether it is about to leave.
     pub is_leaving: bool,
-    /// How long it stays cold, as it told; none if it did not say.
+    /// How long it stays cold by its own report; none if it does not report it.
     pub cold_left: Option<Duration>,
 }
 
-/// What a change of the list means to its reader.
+/// A change of the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ServerChange {
-    /// A server is new or is listed differently.
+    /// A server is new or its record has changed.
     Listed(ServerRecord),
-    /// A server takes nothing more.
+    /// A server is removed.
     Removed(ServerId),
-    /// An entry that names no server to use.
+    /// A record that cannot be read.
     Unreadable(ServerId),
 }
 
 impl ServerChange {
-    /// The server that it is about.
+    /// Id of the server.
     #[must_use]
     pub const fn id(&self) -> &ServerId {
         match self {
@@ -68,40 +68,40 @@
     }
 }
 
-/// The servers in use, and those that lapsed in an outage.
+/// The listed servers, and those whose listing expired during an outage.
 #[derive(Debug, Clone, Default)]
 pub struct ServerList {
     servers: BTreeMap<ServerId, ServerRecord>,
-    lapsed: BTreeSet<ServerId>,
-    /// Whether an entry without a start names no server to use.
-    tells_starts: bool,
-    returned_at: Option<Duration>,
-    is_away: bool,
-    zones: ZoneUses,
+    expired: BTreeSet<ServerId>,
+    /// Whether records without a start time are ignored, as servers' records have one.
+    reports_start_times: bool,
+    store_returned_at: Option<Duration>,
+    is_store_unreachable: bool,
+    zones: ZoneStates,
     cold: ColdTimes,
-    /// Limits that servers have named, also of some that are not listed yet.
+    /// Limits that servers have reported, including servers that are not listed yet.
     limits: BTreeMap<ServerIncarnation, ServerLimit>,
-    /// Whether a whole list was taken: what comes after it has just started.
-    is_whole: bool,
+    /// Whether a complete list was received: servers that appear later have just started.
+    is_complete: bool,
 }
 
 impl ServerList {
-    /// Takes what the operators say of zones; says which of them have changed.
+    /// Applies the operators' changes of zones; returns the zones whose state changed.
     pub fn apply_zones(
         &mut self,
         changes: Vec<ZoneChange>,
-        is_whole: bool,
+        is_complete: bool,
         now: Duration,
     ) -> Vec<(ZoneId, ZoneState)> {
-        self.zones.take(changes, is_whole, now)
+        self.zones.apply(changes, is_complete, now)
     }
 
-    /// Zones that are evacuated, each with the version of the operators' word.
+    /// Evacuated zones, each with the version of the operators' row.
     pub fn evacuated_zones(&self) -> impl Iterator<Item = (&ZoneId, RowVersion)> {
         self.zones.evacuated()
     }
 
-    /// Takes the limit that a server names, or its end; false if it is the same.
+    /// Sets or removes the limit that a server reports; returns whether it changed.
     pub fn set_limit(&mut self, server: &ServerIncarnation, limit: Option<ServerLimit>) -> bool {
         match limit {
             Some(limit) => self.limits.insert(server.clone(), limit) != Some(limit),
@@ -109,23 +109,24 @@
         }
     }
 
-    /// What may be sent to a life of a server now, where its service may have cold servers.
+    /// Availability of an incarnation of a server, with the limits for cold servers of its service.
     #[must_use]
     pub fn availability(
         &self,
-        life: &ServerIncarnation,
+        incarnation: &ServerIncarnation,
         cold: Option<ColdLimits>,
         now: Duration,
     ) -> ServerAvailability {
-        let record = self.servers.get(life.id());
-        let record =
-            record.filter(|record| record.incarnation == *life && self.is_servers_own(record));
+        let record = self.servers.get(incarnation.id());
+        let record = record.filter(|record| {
+            record.incarnation == *incarnation && self.is_written_by_server(record)
+        });
         record.map_or(ServerAvailability::Unlisted, |record| {
             self.availability_of(record, cold, now)
         })
     }
 
-    /// The same of a record of this list.
+    /// Availability of a record of this list.
     #[must_use]
     pub fn availability_of(
         &self,
@@ -143,15 +144,16 @@
             .limits
             .get(&record.incarnation)
             .map(|limit| limit.per_s());
-        let cold_until = cold.and_then(|terms| {
+        let cold_until = cold.and_then(|limits| {
             let taken_back_at = self.zones.taken_back_at(&record.zone);
             let until = self
                 .cold
-                .until(record.incarnation.id(), terms, taken_back_at)?;
-            (until > now).then_some((until, terms.max_per_s))
+                .until(record.incarnation.id(), limits, taken_back_at)?;
+            (until > now).then_some((until, limits.max_per_s))
         });
         match (cold_until, limit) {
-            // Of two bounds the tighter one holds, and that of cold servers is counted more strictly.
+            // The tighter of two limits applies, and a cold server's limit is counted more
+            // strictly.
             (Some((until, max_per_s)), limit) => ServerAvailability::Cold {
                 until,
                 max_per_s: limit.map_or(max_per_s, |limit| limit.min(max_per_s)),
@@ -161,24 +163,24 @@
         }
     }
 
-    /// Notes that the store does not answer.
+    /// Records that the store does not respond.
     pub const fn store_lost(&mut self) {
-        self.is_away = true;
+        self.is_store_unreachable = true;
     }
 
-    /// Notes that the store answers; the first answer after an outage starts the grace.
+    /// Records that the store responds; the first response after an outage starts the grace period.
     pub const fn store_answered(&mut self, now: Duration) {
-        if self.is_away {
-            self.is_away = false;
-            self.returned_at = Some(now);
+        if self.is_store_unreachable {
+            self.is_store_unreachable = false;
+            self.store_returned_at = Some(now);
         }
     }
 
-    /// Takes one change; false if nothing in use changed.
+    /// Applies one change; false if the servers in use have not changed.
     pub fn apply_change(&mut self, change: ServerChange, now: Duration) -> bool {
         let is_changed = self.apply(change, now);
         if is_changed {
-            self.count_starts();
+            self.detect_start_times();
         }
         is_changed
     }
@@ -187,38 +189,38 @@
         match change {
             ServerChange::Listed(record) => {
                 let id = record.incarnation.id();
-                self.lapsed.remove(id);
-                self.note_cold(&record, now);
+                self.expired.remove(id);
+                self.record_cold(&record, now);
                 if self.servers.get(id) == Some(&record) {
                     return false;
                 }
                 self.servers.insert(id.clone(), record);
                 true
             }
-            ServerChange::Removed(id) => self.lose(id, now),
-            // The store has spoken: no outage explains such an entry.
+            ServerChange::Removed(id) => self.remove_or_expire(id, now),
+            // The record was read from the store, so no outage explains it.
             ServerChange::Unreadable(id) => {
-                self.lapsed.remove(&id);
-                self.forget(&id)
+                self.expired.remove(&id);
+                self.remove(&id)
             }
         }
     }
 
-    fn note_cold(&mut self, record: &ServerRecord, now: Duration) {
+    fn record_cold(&mut self, record: &ServerRecord, now: Duration) {
         let known = self.servers.get(record.incarnation.id());
         let is_new = known.is_none_or(|known| record.incarnation.replaces(&known.incarnation));
-        let has_come = is_new && self.is_whole;
+        let has_joined = is_new && self.is_complete;
         self.cold
-            .told(record.incarnation.id(), record.cold_left, has_come, now);
+            .record(record.incarnation.id(), record.cold_left, has_joined, now);
     }
 
-    fn forget(&mut self, id: &ServerId) -> bool {
-        self.cold.forget(id);
-        self.limits.retain(|life, _| life.id() != id);
+    fn remove(&mut self, id: &ServerId) -> bool {
+        self.cold.remove(id);
+        self.limits.retain(|incarnation, _| incarnation.id() != id);
         self.servers.remove(id).is_some()
     }
 
-    /// Takes the whole list: what is missing from it lapsed or is gone.
+    /// Applies a complete list: servers that are missing from it have expired or are gone.
     pub fn replace_all(&mut self, entries: Vec<ServerChange>, now: Duration) {
         let listed: BTreeSet<_> = entries.iter().map(|entry| entry.id().clone()).collect();
         let known: Vec<_> = self.servers.keys().cloned().collect();
@@ -228,33 +230,33 @@
         for id in known.into_iter().filter(|id| !listed.contains(id)) {
             self.apply(ServerChange::Removed(id), now);
         }
-        self.is_whole = true;
-        self.count_starts();
+        self.is_complete = true;
+        self.detect_start_times();
     }
 
-    /// When what lapsed and has not come back is gone.
+    /// End of the grace period of expired listings.
     #[must_use]
     pub fn expired_until(&self) -> Option<Duration> {
-        let returned_at = self
-            .returned_at
-            .filter(|_| !self.lapsed.is_empty() && !self.is_away);
-        returned_at.map(|returned_at| returned_at + EXPIRY_GRACE)
+        let store_returned_at = self
+            .store_returned_at
+            .filter(|_| !self.expired.is_empty() && !self.is_store_unreachable);
+        store_returned_at.map(|store_returned_at| store_returned_at + EXPIRY_GRACE)
     }
 
-    /// Drops what lapsed and has not come back in time; says which.
+    /// Drops the servers whose grace period has ended; returns their ids.
     pub fn drop_expired(&mut self, now: Duration) -> Vec<ServerId> {
         if self.expired_until().is_none_or(|until| until > now) {
             return Vec::new();
         }
-        let due: Vec<_> = std::mem::take(&mut self.lapsed).into_iter().collect();
-        for id in &due {
-            self.forget(id);
+        let dropped: Vec<_> = std::mem::take(&mut self.expired).into_iter().collect();
+        for id in &dropped {
+            self.remove(id);
         }
-        self.count_starts();
-        due
+        self.detect_start_times();
+        dropped
     }
 
-    /// Servers of a service that do not leave, those of evacuated zones too.
+    /// Servers of a service that are not about to leave, including those of evacuated zones.
     pub fn not_leaving<'a>(
         &'a self,
         service: &'a ServiceId,
@@ -263,58 +265,59 @@
         of_service.filter(|record| !record.is_leaving)
     }
 
-    /// Servers of a service that take requests, cold ones too.
+    /// Servers of a service that may be used, including cold ones.
     pub fn usable<'a>(&'a self, service: &'a ServiceId) -> impl Iterator<Item = &'a ServerRecord> {
         let staying = self.not_leaving(service);
         staying.filter(|record| !self.zones.is_evacuated(&record.zone))
     }
 
-    /// Whether a life of a server takes requests, be it as a cold one.
+    /// Whether an incarnation of a server may be used, even if it is cold.
     #[must_use]
-    pub fn is_usable(&self, life: &ServerIncarnation) -> bool {
-        self.availability(life, None, Duration::ZERO).is_usable()
+    pub fn is_usable(&self, incarnation: &ServerIncarnation) -> bool {
+        self.availability(incarnation, None, Duration::ZERO)
+            .is_usable()
     }
 
-    /// Whether a life of a server is listed, be it as one that leaves.
+    /// Whether an incarnation of a server is listed, even if it is about to leave.
     #[must_use]
-    pub fn is_listed(&self, life: &ServerIncarnation) -> bool {
-        self.availability(life, None, Duration::ZERO) != ServerAvailability::Unlisted
+    pub fn is_listed(&self, incarnation: &ServerIncarnation) -> bool {
+        self.availability(incarnation, None, Duration::ZERO) != ServerAvailability::Unlisted
     }
 
-    /// All servers that are known.
+    /// All known servers.
     pub fn all(&self) -> impl Iterator<Item = &ServerRecord> {
         let records = self.servers.values();
-        records.filter(|record| self.is_servers_own(record))
+        records.filter(|record| self.is_written_by_server(record))
     }
 
-    /// Whether an entry is one that servers write.
+    /// Whether a record was written by a server.
     ///
-    /// Guards against an entry by another writer that has all but the start: sent there, a request
-    /// would wait for a server that is not. Most entries are servers' own, so most of them say
-    /// whether the platform tells starts at all.
-    fn is_servers_own(&self, record: &ServerRecord) -> bool {
-        !self.tells_starts || record.incarnation.started().is_some()
+    /// Guards against a record by another program that has everything but a start time: a request
+    /// sent there would wait for a server that does not exist. Most records are written by servers,
+    /// so the majority shows whether the platform lists start times.
+    fn is_written_by_server(&self, record: &ServerRecord) -> bool {
+        !self.reports_start_times || record.incarnation.started().is_some()
     }
 
-    fn count_starts(&mut self) {
+    fn detect_start_times(&mut self) {
         let records = self.servers.values();
         let with_start = records.filter(|record| record.incarnation.started().is_some());
-        self.tells_starts = with_start.count() * 2 > self.servers.len();
+        self.reports_start_times = with_start.count() * 2 > self.servers.len();
     }
 
-    fn lose(&mut self, id: ServerId, now: Duration) -> bool {
-        // Guards against an outage of the store that empties the list: every server would look
-        // gone though it serves. Once the grace is over, missing is gone.
+    fn remove_or_expire(&mut self, id: ServerId, now: Duration) -> bool {
+        // Guards against an outage of the store that empties the list: every server would seem to
+        // be gone although it runs. After the grace period, a missing server is gone.
         let in_grace = self
-            .returned_at
-            .is_some_and(|returned_at| now.saturating_sub(returned_at) < EXPIRY_GRACE);
-        if self.is_away || in_grace {
+            .store_returned_at
+            .is_some_and(|store_returned_at| now.saturating_sub(store_returned_at) < EXPIRY_GRACE);
+        if self.is_store_unreachable || in_grace {
             if self.servers.contains_key(&id) {
-                self.lapsed.insert(id);
+                self.expired.insert(id);
             }
             return false;
         }
-        self.lapsed.remove(&id);
-        self.forget(&id)
+        self.expired.remove(&id);
+        self.remove(&id)
     }
 }
--- a/crates/core/src/process/server_selector.rs
+++ b/crates/core/src/process/server_selector.rs
@@ -1,11 +1,11 @@
-//! Which backend server a request is sent to directly.
+//! Selects a backend server for a direct send.
 //!
-//! Plain requests join the server with the least expected wait, by the entry's own count in flight
-//! and the load that servers tell. Requests of engines go where their prompt's shared part was read
-//! before, the same server from every entry, unless that one is nearly full and has much more in
-//! flight than the rest.
-//! A cold server is chosen only where no other one has place: it is slow, and takes few.
-//! A server that fails several times in a row is left out for a while, never more than half of them.
+//! Plain requests go to the server with the shortest expected wait, by the entry's own count in
+//! flight and the reported load. Engine requests go to the engine that has read the shared part of
+//! their prompt before, the same from every entry, unless that engine is nearly full and has much
+//! more in flight than the others. Cold servers are selected only if no other server has capacity,
+//! as they are slow and accept few requests. A server that fails several times in a row is ejected
+//! for a while, but never more than half of them.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,70 +19,70 @@
 use super::server_list::ServerRecord;
 use crate::id::{InstanceId, ServerIncarnation, ZoneId};
 
-/// Failures in a row after which a server is left out.
-const FAILURES_OUT: u32 = 2;
-/// First time that a server is left out; doubles up to the longest.
-const FIRST_OUT: Duration = Duration::from_millis(700);
-/// Longest time that a server is left out.
-const LONGEST_OUT: Duration = Duration::from_secs(6);
-/// Part of each new sample in the smoothed time; about the last ten samples count.
-const SAMPLE_SHARE: f64 = 0.15;
-/// Time after which an unused server's smoothed time no longer counts, so that it is tried again.
-const SAMPLE_LIFE: Duration = Duration::from_secs(3);
-/// Age up to which a told load counts.
-const LOAD_LIFE: Duration = Duration::from_millis(500);
-/// Age up to which an engine's told load counts: its requests last for seconds.
-const ENGINE_LOAD_LIFE: Duration = Duration::from_secs(2);
-/// Part of an engine's slots up to which it keeps its affinity: what is left takes requests that
-/// other entries have sent meanwhile. Measured: see DECISIONS.md, "Affinity while there is place".
-const AFFINITY_PART: f64 = 0.75;
-/// Own requests in flight up to which affinity needs no comparison.
-const AFFINITY_FLOOR: usize = 4;
-/// Times the mean in flight up to which a server keeps its affinity.
+/// Consecutive failures from which a server is ejected.
+const FAILURES_TO_EJECT: u32 = 2;
+/// Duration of the first ejection; doubles up to the longest.
+const MIN_EJECTION: Duration = Duration::from_millis(700);
+/// Longest ejection.
+const MAX_EJECTION: Duration = Duration::from_secs(6);
+/// Weight of each new sample in the smoothed time; about the last ten samples count.
+const SAMPLE_WEIGHT: f64 = 0.15;
+/// Time after which an unused server's smoothed time expires, so that it is tried again.
+const SAMPLE_LIFETIME: Duration = Duration::from_secs(3);
+/// Age up to which a reported load counts.
+const LOAD_LIFETIME: Duration = Duration::from_millis(500);
+/// Age up to which an engine's reported load counts: its requests last for seconds.
+const ENGINE_LOAD_LIFETIME: Duration = Duration::from_secs(2);
+/// Fraction of an engine's slots up to which affinity applies: the rest is for requests that other
+/// entries have sent meanwhile.
+const AFFINITY_MAX_FULLNESS: f64 = 0.75;
+/// Own requests in flight below which affinity always applies.
+const AFFINITY_MIN_IN_FLIGHT: usize = 4;
+/// Multiple of the mean in flight up to which affinity applies.
 const AFFINITY_FACTOR: f64 = 1.6;
-/// Expected wait that a server in another availability zone adds.
+/// Expected wait that is added for a server in another availability zone.
 const ZONE_COST_MS: f64 = 3.0;
 
-/// Load that a server told with an answer.
+/// Load that a server reported with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests in work.
+    /// Requests that are being processed.
     pub running: u32,
     /// Requests that wait.
     pub waiting: u32,
-    /// Requests that it works on at once.
+    /// Requests that it processes at once.
     pub slots: u32,
 }
 
-/// How a direct send ended, as far as the server's health goes.
+/// How a direct send ended, as far as it concerns the server's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendEnd {
-    /// A whole answer came.
+    /// A complete answer arrived.
     Answered,
-    /// The server was full or would not run it.
+    /// The server was full or refused to run the request.
     Rejected,
-    /// No connection to it came about.
+    /// No connection could be opened.
     Unreachable,
-    /// Its connection ended, or its answer was broken.
+    /// The connection ended, or the answer was malformed.
     Failed,
-    /// The caller left or the time was over; says nothing of the server.
+    /// The caller left or the deadline passed; tells nothing about the server.
     Abandoned,
 }
 
-/// A change of what a server's sends say of its health.
+/// A change of a server's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthChange {
-    /// It failed several times in a row.
+    /// It failed several times in a row and is ejected.
     Ejected,
-    /// It answered again.
+    /// It answered again and is readmitted.
     Readmitted,
 }
 
-/// The entry that sends, as far as its choice of a server goes.
+/// The sending entry's properties that influence the selection.
 #[derive(Debug, Clone, Copy)]
 pub struct SendingEntry<'a> {
     zone: &'a ZoneId,
-    /// Tells it from other entries.
+    /// Distinguishes it from other entries.
     seed: u64,
     share: ConnectionShare,
 }
@@ -100,45 +100,46 @@
 }
 
 #[derive(Debug, Clone, Default)]
-struct Track {
+struct ServerTracker {
     in_flight: usize,
     smoothed_ms: Option<f64>,
     sampled_at: Duration,
-    told: Option<(ServerLoad, Duration)>,
+    reported: Option<(ServerLoad, Duration)>,
     failures: u32,
-    out_until: Duration,
+    ejected_until: Duration,
 }
 
-impl Track {
-    fn is_out(&self, now: Duration) -> bool {
-        self.out_until > now
+impl ServerTracker {
+    fn is_ejected(&self, now: Duration) -> bool {
+        self.ejected_until > now
     }
 
-    fn waiting_ahead(&self, load_life: Duration, now: Duration) -> f64 {
-        let told = self
-            .told
-            .filter(|(_, at)| now.saturating_sub(*at) <= load_life);
-        let told = told.map_or(0, |(load, _)| load.running + load.waiting);
+    fn requests_ahead(&self, load_lifetime: Duration, now: Duration) -> f64 {
+        let reported = self
+            .reported
+            .filter(|(_, at)| now.saturating_sub(*at) <= load_lifetime);
+        let reported = reported.map_or(0, |(load, _)| load.running + load.waiting);
         let own = u32::try_from(self.in_flight).unwrap_or(u32::MAX);
-        // The server's own count holds ours as well as other entries'.
-        f64::from(own.max(told))
+        // The server's own count includes the requests of this entry and of others.
+        f64::from(own.max(reported))
     }
 
-    fn time_ms(&self, now: Duration) -> Option<f64> {
-        let is_recent = now.saturating_sub(self.sampled_at) <= SAMPLE_LIFE;
+    fn recent_time_ms(&self, now: Duration) -> Option<f64> {
+        let is_recent = now.saturating_sub(self.sampled_at) <= SAMPLE_LIFETIME;
         self.smoothed_ms.filter(|_| is_recent)
     }
 }
 
-/// What this entry knows of each backend server by its own sends.
+/// What this entry knows of each backend server from its own sends.
 #[derive(Debug, Clone, Default)]
 pub struct ServerSelector {
-    tracks: BTreeMap<ServerIncarnation, Track>,
+    trackers: BTreeMap<ServerIncarnation, ServerTracker>,
 }
 
 impl ServerSelector {
-    /// The server with the least expected wait for a plain request, among those that the entry
-    /// keeps to; another one only when those have as much of it in work as its share allows.
+    /// The server with the shortest expected wait for a plain request, among the entry's share of
+    /// servers; another server only if all of those have as many requests in flight as the share
+    /// allows.
     #[must_use]
     pub fn select_plain<'a>(
         &self,
@@ -147,44 +148,53 @@
         entry: SendingEntry<'_>,
         now: Duration,
     ) -> Option<&'a ServerRecord> {
-        let has_place = |server: &ServerRecord| self.fullness(server, LOAD_LIFE, now) < 1.0;
-        self.least_wait(&self.candidates(servers, tried, has_place, now), entry, now)
+        let has_capacity = |server: &ServerRecord| self.fullness(server, LOAD_LIFETIME, now) < 1.0;
+        self.select_least_wait(
+            &self.candidates(servers, tried, has_capacity, now),
+            entry,
+            now,
+        )
     }
 
-    fn least_wait<'a>(
+    fn select_least_wait<'a>(
         &self,
         all: &[&'a ServerRecord],
         entry: SendingEntry<'_>,
         now: Duration,
     ) -> Option<&'a ServerRecord> {
-        let usual_ms = self.usual_ms(all, now);
-        // Equal servers are told apart differently by each entry: entries that start together
-        // would otherwise all go to the first one.
+        let mean_ms = self.mean_ms(all, now);
+        // Each entry breaks ties differently: entries that start together would otherwise all
+        // select the same server.
         let cost = |server: &&ServerRecord| {
-            let own = Reverse(rendezvous::score(entry.seed, server.incarnation.id()));
-            (self.cost_ms(server, entry.zone, usual_ms, now), own)
+            let tie_break = Reverse(rendezvous::score(entry.seed, server.incarnation.id()));
+            (
+                self.expected_wait_ms(server, entry.zone, mean_ms, now),
+                tie_break,
+            )
         };
         let least = |servers: &mut dyn Iterator<Item = &'a ServerRecord>| {
             let costs = servers.map(|server| (cost(&server), server));
-            let least = costs.min_by(|((a, own_a), _), ((b, own_b), _)| {
-                a.total_cmp(b).then_with(|| own_a.cmp(own_b))
+            let least = costs.min_by(|((a, tie_a), _), ((b, tie_b), _)| {
+                a.total_cmp(b).then_with(|| tie_a.cmp(tie_b))
             });
             least.map(|(_, server)| server)
         };
-        let has_place = |server: &&ServerRecord| {
+        let has_capacity = |server: &&ServerRecord| {
             self.in_flight(&server.incarnation) < entry.share.connections()
         };
-        let kept_to = entry.share.keep_to(all.to_vec(), entry.zone, entry.seed);
-        least(&mut kept_to.into_iter().filter(has_place))
-            .or_else(|| least(&mut all.iter().copied().filter(has_place)))
+        let shared_servers = entry
+            .share
+            .select_servers(all.to_vec(), entry.zone, entry.seed);
+        least(&mut shared_servers.into_iter().filter(has_capacity))
+            .or_else(|| least(&mut all.iter().copied().filter(has_capacity)))
             .or_else(|| least(&mut all.iter().copied()))
     }
 
-    /// Mean of the servers' smoothed times, for those that have none.
-    fn usual_ms(&self, servers: &[&ServerRecord], now: Duration) -> f64 {
+    /// Mean of the servers' smoothed times, for servers without samples.
+    fn mean_ms(&self, servers: &[&ServerRecord], now: Duration) -> f64 {
         let times = servers
             .iter()
-            .filter_map(|server| self.track(&server.incarnation)?.time_ms(now));
+            .filter_map(|server| self.tracker(&server.incarnation)?.recent_time_ms(now));
         let (sum, count) = times.fold((0.0, 0_u32), |(sum, count), ms| (sum + ms, count + 1));
         if count == 0 {
             1.0
@@ -194,58 +204,66 @@
     }
 
     /// Expected wait at a server.
-    fn cost_ms(&self, server: &ServerRecord, zone: &ZoneId, usual_ms: f64, now: Duration) -> f64 {
-        let track = self.track(&server.incarnation);
-        let ahead = track.map_or(0.0, |track| track.waiting_ahead(LOAD_LIFE, now));
-        let time_ms = track
-            .and_then(|track| track.time_ms(now))
-            .unwrap_or(usual_ms);
+    fn expected_wait_ms(
+        &self,
+        server: &ServerRecord,
+        zone: &ZoneId,
+        mean_ms: f64,
+        now: Duration,
+    ) -> f64 {
+        let tracker = self.tracker(&server.incarnation);
+        let ahead = tracker.map_or(0.0, |tracker| tracker.requests_ahead(LOAD_LIFETIME, now));
+        let recent_time_ms = tracker
+            .and_then(|tracker| tracker.recent_time_ms(now))
+            .unwrap_or(mean_ms);
         let slots = f64::from(u32::try_from(server.slots.max(1)).unwrap_or(1));
-        let away_ms = if server.zone == *zone {
+        let zone_cost_ms = if server.zone == *zone {
             0.0
         } else {
             ZONE_COST_MS
         };
-        // Half a slot's worth of weight before the slots are full spreads an idle service.
-        time_ms * (1.0 + ahead / slots) + away_ms
+        // Requests ahead add to the wait even while slots are free, which spreads the load of an
+        // idle service.
+        recent_time_ms * (1.0 + ahead / slots) + zone_cost_ms
     }
 
-    /// The engine for a prompt whose last shared part has a name.
+    /// The engine for a prompt, by the name of its last shared part.
     #[must_use]
     pub fn select_engine<'a>(
         &self,
         servers: UsableServers<'a>,
         tried: &BTreeSet<ServerIncarnation>,
-        shared_part: &str,
+        shared_prefix: &str,
         now: Duration,
     ) -> Option<&'a ServerRecord> {
-        let has_place = |server: &ServerRecord| !self.is_nearly_full(server, now);
-        let mut servers = self.candidates(servers, tried, has_place, now);
-        let seed = rendezvous::score(1, shared_part);
+        let has_capacity = |server: &ServerRecord| !self.is_nearly_full(server, now);
+        let mut servers = self.candidates(servers, tried, has_capacity, now);
+        let seed = rendezvous::score(1, shared_prefix);
         servers
             .sort_by_cached_key(|server| Reverse(rendezvous::score(seed, server.incarnation.id())));
         let mut mean = None;
-        // A prompt that is read elsewhere is read anew: only a full engine is worth that.
-        let mut has_place = |server: &&&ServerRecord| {
+        // At another engine the prompt has to be read again, so affinity gives way only at a full
+        // engine.
+        let mut has_capacity = |server: &&&ServerRecord| {
             if !self.is_nearly_full(server, now) {
                 return true;
             }
             let own = self.in_flight(&server.incarnation);
             let mean = *mean.get_or_insert_with(|| self.mean_in_flight(&servers));
-            own < AFFINITY_FLOOR || as_f64(own) < mean * AFFINITY_FACTOR
+            own < AFFINITY_MIN_IN_FLIGHT || as_f64(own) < mean * AFFINITY_FACTOR
         };
-        let near = servers.iter().find(|server| has_place(server));
-        near.or_else(|| servers.first()).copied()
+        let with_capacity = servers.iter().find(|server| has_capacity(server));
+        with_capacity.or_else(|| servers.first()).copied()
     }
 
     fn is_nearly_full(&self, server: &ServerRecord, now: Duration) -> bool {
-        self.fullness(server, ENGINE_LOAD_LIFE, now) >= AFFINITY_PART
+        self.fullness(server, ENGINE_LOAD_LIFETIME, now) >= AFFINITY_MAX_FULLNESS
     }
 
-    /// Requests ahead at a server, in parts of its slots.
-    fn fullness(&self, server: &ServerRecord, load_life: Duration, now: Duration) -> f64 {
-        let track = self.track(&server.incarnation);
-        let ahead = track.map_or(0.0, |track| track.waiting_ahead(load_life, now));
+    /// Requests ahead at a server, as a fraction of its slots.
+    fn fullness(&self, server: &ServerRecord, load_lifetime: Duration, now: Duration) -> f64 {
+        let tracker = self.tracker(&server.incarnation);
+        let ahead = tracker.map_or(0.0, |tracker| tracker.requests_ahead(load_lifetime, now));
         ahead / f64::from(u32::try_from(server.slots.max(1)).unwrap_or(1))
     }
 
@@ -256,12 +274,12 @@
         as_f64(in_flight.sum::<usize>()) / as_f64(servers.len().max(1))
     }
 
-    /// Counts a send.
+    /// Records a send.
     pub fn record_send(&mut self, server: &ServerIncarnation) {
-        self.tracks.entry(server.clone()).or_default().in_flight += 1;
+        self.trackers.entry(server.clone()).or_default().in_flight += 1;
     }
 
-    /// Takes the end of a send; says whether the server is left out or taken back by it.
+    /// Records the end of a send; returns whether the server is ejected or readmitted by it.
     pub fn record_end(
         &mut self,
         server: &ServerIncarnation,
@@ -269,96 +287,99 @@
         elapsed: Duration,
         now: Duration,
     ) -> Option<HealthChange> {
-        let track = self.tracks.get_mut(server)?;
-        let was_failing = track.failures >= FAILURES_OUT;
-        track.in_flight = track.in_flight.saturating_sub(1);
+        let tracker = self.trackers.get_mut(server)?;
+        let was_failing = tracker.failures >= FAILURES_TO_EJECT;
+        tracker.in_flight = tracker.in_flight.saturating_sub(1);
         match end {
             SendEnd::Answered => {
-                track.failures = 0;
+                tracker.failures = 0;
                 let sample_ms = elapsed.as_secs_f64() * 1_000.0;
-                let smoothed_ms = track.time_ms(now).unwrap_or(sample_ms);
-                track.smoothed_ms = Some(smoothed_ms + SAMPLE_SHARE * (sample_ms - smoothed_ms));
-                track.sampled_at = now;
+                let smoothed_ms = tracker.recent_time_ms(now).unwrap_or(sample_ms);
+                tracker.smoothed_ms = Some(smoothed_ms + SAMPLE_WEIGHT * (sample_ms - smoothed_ms));
+                tracker.sampled_at = now;
             }
             SendEnd::Failed | SendEnd::Unreachable => {
-                // One that takes no connection is not there. Before hundreds of servers an entry
-                // seldom meets the same one twice, so a second sign would come much too late.
-                let signs = if end == SendEnd::Failed {
+                // A server that accepts no connection is not running. With hundreds of servers an
+                // entry seldom selects the same one twice, so a second failure would come much too
+                // late.
+                let new_failures = if end == SendEnd::Failed {
                     1
                 } else {
-                    FAILURES_OUT
+                    FAILURES_TO_EJECT
                 };
-                track.failures += signs;
-                if track.failures >= FAILURES_OUT {
-                    let doubled = FIRST_OUT * (1 << (track.failures - FAILURES_OUT).min(4));
-                    track.out_until = now + doubled.min(LONGEST_OUT);
+                tracker.failures += new_failures;
+                if tracker.failures >= FAILURES_TO_EJECT {
+                    let doubled =
+                        MIN_EJECTION * (1 << (tracker.failures - FAILURES_TO_EJECT).min(4));
+                    tracker.ejected_until = now + doubled.min(MAX_EJECTION);
                 }
             }
             SendEnd::Rejected | SendEnd::Abandoned => {}
         }
-        match (was_failing, track.failures >= FAILURES_OUT) {
+        match (was_failing, tracker.failures >= FAILURES_TO_EJECT) {
             (false, true) => Some(HealthChange::Ejected),
             (true, false) => Some(HealthChange::Readmitted),
             _ => None,
         }
     }
 
-    /// Takes the load that a server told.
+    /// Records the load that a server reported.
     pub fn record_load(&mut self, server: &ServerIncarnation, load: ServerLoad, now: Duration) {
-        self.tracks.entry(server.clone()).or_default().told = Some((load, now));
+        self.trackers.entry(server.clone()).or_default().reported = Some((load, now));
     }
 
-    /// Requests of this entry at a server.
+    /// Number of this entry's requests at a server.
     #[must_use]
     pub fn in_flight(&self, server: &ServerIncarnation) -> usize {
-        self.track(server).map_or(0, |track| track.in_flight)
+        self.tracker(server).map_or(0, |tracker| tracker.in_flight)
     }
 
-    /// What a choice sees of a server now.
+    /// The load of a server that a selection now is based on.
     #[must_use]
     pub fn load_snapshot(&self, server: &ServerIncarnation, now: Duration) -> LoadSnapshot {
-        let Some(track) = self.track(server) else {
+        let Some(tracker) = self.tracker(server) else {
             return LoadSnapshot::default();
         };
-        let told = track
-            .told
+        let reported = tracker
+            .reported
             .map(|(load, _)| u64::from(load.running + load.waiting));
-        let told_age = track.told.map(|(_, at)| now.saturating_sub(at));
+        let reported_age = tracker.reported.map(|(_, at)| now.saturating_sub(at));
         LoadSnapshot {
-            in_flight: track.in_flight,
-            reported: OptionalNumber(told),
-            reported_age_ms: told_age.map_or_else(OptionalNumber::default, OptionalNumber::of_ms),
+            in_flight: tracker.in_flight,
+            reported: OptionalNumber(reported),
+            reported_age_ms: reported_age
+                .map_or_else(OptionalNumber::default, OptionalNumber::of_ms),
         }
     }
 
-    /// Forgets servers that are gone.
+    /// Removes servers that are gone.
     pub fn retain(&mut self, is_known: impl Fn(&ServerIncarnation) -> bool) {
-        self.tracks
-            .retain(|id, track| track.in_flight > 0 || is_known(id));
+        self.trackers
+            .retain(|id, tracker| tracker.in_flight > 0 || is_known(id));
     }
 
-    fn track(&self, server: &ServerIncarnation) -> Option<&Track> {
-        self.tracks.get(server)
+    fn tracker(&self, server: &ServerIncarnation) -> Option<&ServerTracker> {
+        self.trackers.get(server)
     }
 
-    /// Servers to choose from: cold ones only while no other one has place.
+    /// Servers to select from: cold ones only while no other server has capacity.
     fn candidates<'a>(
         &self,
         servers: UsableServers<'a>,
         tried: &BTreeSet<ServerIncarnation>,
-        has_place: impl Fn(&ServerRecord) -> bool,
+        has_capacity: impl Fn(&ServerRecord) -> bool,
         now: Duration,
     ) -> Vec<&'a ServerRecord> {
-        let free = self.in_use(servers.free.into_iter(), tried, now);
-        if servers.cold.is_empty() || free.iter().any(|server| has_place(server)) {
+        let free = self.untried_healthy(servers.free.into_iter(), tried, now);
+        if servers.cold.is_empty() || free.iter().any(|server| has_capacity(server)) {
             return free;
         }
-        let cold = self.in_use(servers.cold.into_iter(), tried, now);
+        let cold = self.untried_healthy(servers.cold.into_iter(), tried, now);
         if cold.is_empty() { free } else { cold }
     }
 
-    /// Servers that are not tried and not left out; all untried ones when too many are out.
-    fn in_use<'a>(
+    /// Untried servers that are not ejected; all untried ones if too many are ejected.
+    fn untried_healthy<'a>(
         &self,
         servers: impl Iterator<Item = &'a ServerRecord>,
         tried: &BTreeSet<ServerIncarnation>,
@@ -367,15 +388,20 @@
         let untried: Vec<_> = servers
             .filter(|server| !tried.contains(&server.incarnation))
             .collect();
-        if !self.tracks.values().any(|track| track.is_out(now)) {
+        if !self
+            .trackers
+            .values()
+            .any(|tracker| tracker.is_ejected(now))
+        {
             return untried;
         }
-        let is_in = |server: &&ServerRecord| {
-            self.track(&server.incarnation)
-                .is_none_or(|track| !track.is_out(now))
+        let is_healthy = |server: &&ServerRecord| {
+            self.tracker(&server.incarnation)
+                .is_none_or(|tracker| !tracker.is_ejected(now))
         };
-        let healthy: Vec<_> = untried.iter().copied().filter(is_in).collect();
-        // When most look sick, the cause is not theirs: all are used rather than a few overloaded.
+        let healthy: Vec<_> = untried.iter().copied().filter(is_healthy).collect();
+        // If most servers fail, the cause lies elsewhere: all are used rather than overloading a
+        // few.
         if healthy.len() * 2 < untried.len() {
             untried
         } else {
