--- a/crates/core/src/process/shared_retry_budget.rs
+++ b/crates/core/src/process/shared_retry_budget.rs
@@ -1,27 +1,27 @@
-//! A bound on repeats that all entries of a deployment keep together.
+//! A retry limit that all entries of a deployment keep together.
 //!
-//! A service allows so many repeats a window: a share of its requests and a fixed number more.
-//! Each entry earns its own requests' share and takes its part of the fixed number by the count of
-//! live entries, so that the sum stays within the bound without a word between them.
+//! Per window, a service allows a number of retries: a fraction of its requests and a fixed number.
+//! Each entry may use the fraction of its own requests and divides the fixed number by the number
+//! of live entries, so that the sum keeps within the limit without communication.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use super::count::as_f64;
 
-/// Parts of a window that are forgotten one by one.
+/// Parts into which a window is divided; they expire one by one.
 const BUCKETS: u32 = 10;
-/// Part of the allowance that is used: entries disagree for a while on how many there are.
-const USED_PART: f64 = 0.7;
+/// Fraction of the allowance that is used: for a while, entries disagree on how many there are.
+const USED_FRACTION: f64 = 0.7;
 
-/// The bound as the operators set it.
+/// The limit as set by operators.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// Repeats per request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats beyond them, over all entries.
+    /// Additional retries of all entries together.
     pub slack: f64,
-    /// Span that is counted.
+    /// Length of the window.
     pub window: Duration,
 }
 
@@ -32,7 +32,7 @@
     repeats: u32,
 }
 
-/// One entry's part of a service's repeats.
+/// One entry's share of a service's retries.
 ///
 /// # Examples
 ///
@@ -48,28 +48,28 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct SharedRetryBudget {
-    terms: RetryBudgetSettings,
+    settings: RetryBudgetSettings,
     buckets: VecDeque<Bucket>,
 }
 
 impl SharedRetryBudget {
-    /// A budget without a past.
+    /// A budget without any requests so far.
     #[must_use]
-    pub const fn new(terms: RetryBudgetSettings) -> Self {
+    pub const fn new(settings: RetryBudgetSettings) -> Self {
         Self {
-            terms,
+            settings,
             buckets: VecDeque::new(),
         }
     }
 
-    /// Counts a request for the service.
+    /// Records a request for the service.
     pub fn record_request(&mut self, now: Duration) {
         self.bucket(now).requests += 1;
     }
 
-    /// Takes so many repeats if they are left to one of `live` entries.
+    /// Takes one retry if one is left to one of `live` entries.
     pub fn try_retry(&mut self, live: usize, now: Duration) -> bool {
-        self.forget(now);
+        self.drop_old(now);
         if self.remaining(live) < 1.0 {
             return false;
         }
@@ -77,19 +77,19 @@
         true
     }
 
-    /// Repeats left in the window.
+    /// Retries left in the window.
     #[must_use]
     pub fn remaining(&self, live: usize) -> f64 {
         let live = as_f64(live.max(1));
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
         let repeats: u32 = self.buckets.iter().map(|bucket| bucket.repeats).sum();
-        let allowed = f64::from(requests) * self.terms.ratio + self.terms.slack / live;
-        allowed * USED_PART - f64::from(repeats)
+        let allowed = f64::from(requests) * self.settings.ratio + self.settings.slack / live;
+        allowed * USED_FRACTION - f64::from(repeats)
     }
 
     fn bucket(&mut self, now: Duration) -> &mut Bucket {
-        self.forget(now);
-        let number = self.number(now);
+        self.drop_old(now);
+        let number = self.bucket_number(now);
         if self
             .buckets
             .back()
@@ -105,8 +105,8 @@
         &mut self.buckets[last]
     }
 
-    fn forget(&mut self, now: Duration) {
-        let oldest = self.number(now).saturating_sub(u64::from(BUCKETS));
+    fn drop_old(&mut self, now: Duration) {
+        let oldest = self.bucket_number(now).saturating_sub(u64::from(BUCKETS));
         while self
             .buckets
             .front()
@@ -116,8 +116,8 @@
         }
     }
 
-    fn number(&self, now: Duration) -> u64 {
-        let bucket_ms = (self.terms.window / BUCKETS).as_millis().max(1);
+    fn bucket_number(&self, now: Duration) -> u64 {
+        let bucket_ms = (self.settings.window / BUCKETS).as_millis().max(1);
         u64::try_from(now.as_millis() / bucket_ms).unwrap_or(u64::MAX)
     }
 }
--- a/crates/core/src/process/stage_estimate.rs
+++ b/crates/core/src/process/stage_estimate.rs
@@ -1,4 +1,4 @@
-//! How long a stage now takes.
+//! Expected time of a stage.
 
 /// Expected time of one stage.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -10,7 +10,7 @@
 }
 
 impl StageEstimate {
-    /// Queue and service together.
+    /// Sum of queue and service time.
     #[must_use]
     pub const fn total_ms(self) -> u64 {
         self.queue_ms.saturating_add(self.service_ms)
--- a/crates/core/src/process/zone_uses.rs
+++ b/crates/core/src/process/zone_states.rs
@@ -1,49 +1,49 @@
-//! Which availability zones are in use, by the operators' word.
+//! State of the availability zones, as set by operators.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use crate::id::{RowVersion, ZoneId};
 
-/// What the operators say of an availability zone.
+/// A change of an availability zone's state by operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneChange {
     /// The zone.
     pub zone: ZoneId,
-    /// What is said; unreadable words leave the zone as it is.
+    /// The new state; an unreadable row leaves the zone as it is.
     pub state: Result<ZoneState, String>,
 }
 
 /// Whether an availability zone is in use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ZoneState {
-    /// Nothing may be sent to its servers, by a version of the operators' word.
+    /// Nothing may be sent to its servers; the version of the operators' row.
     Evacuated(RowVersion),
     /// It is in use.
     InUse,
 }
 
-/// Zones that are evacuated, and those that came back.
+/// Evacuated zones, and zones that were taken back.
 #[derive(Debug, Clone, Default)]
-pub(super) struct ZoneUses {
+pub(super) struct ZoneStates {
     evacuated: BTreeMap<ZoneId, RowVersion>,
-    /// Zones that are in use again, since when.
+    /// When zones were taken back into use.
     taken_back: BTreeMap<ZoneId, Duration>,
 }
 
-impl ZoneUses {
-    /// Takes what the operators say of zones; says which of them have changed.
+impl ZoneStates {
+    /// Applies the operators' changes of zones; returns the zones whose state changed.
     ///
-    /// A whole table takes back what it does not name. Words that cannot be read leave a zone as it
-    /// is: nothing says that it was taken back.
-    pub(super) fn take(
+    /// A complete table takes back the zones that it does not name. An unreadable row leaves a zone
+    /// as it is, as it does not show that the zone was taken back.
+    pub(super) fn apply(
         &mut self,
         changes: Vec<ZoneChange>,
-        is_whole: bool,
+        is_complete: bool,
         now: Duration,
     ) -> Vec<(ZoneId, ZoneState)> {
         let mut states = BTreeMap::new();
-        if is_whole {
+        if is_complete {
             let named: BTreeSet<_> = changes.iter().map(|change| &change.zone).collect();
             let missing = self.evacuated.keys().filter(|zone| !named.contains(zone));
             states.extend(missing.map(|zone| (zone.clone(), ZoneState::InUse)));
@@ -51,11 +51,11 @@
         let readable = changes.into_iter();
         let readable = readable.filter_map(|change| Some((change.zone, change.state.ok()?)));
         states.extend(readable);
-        states.retain(|zone, state| self.take_one(zone, *state, now));
+        states.retain(|zone, state| self.apply_one(zone, *state, now));
         states.into_iter().collect()
     }
 
-    fn take_one(&mut self, zone: &ZoneId, state: ZoneState, now: Duration) -> bool {
+    fn apply_one(&mut self, zone: &ZoneId, state: ZoneState, now: Duration) -> bool {
         match state {
             ZoneState::Evacuated(version) => {
                 self.taken_back.remove(zone);
@@ -63,14 +63,15 @@
             }
             ZoneState::InUse => {
                 self.evacuated.remove(zone);
-                // Said of a zone that was in use here, its evacuation passed unheard, as behind a cut.
+                // The zone may be known as in use here: its evacuation was missed, as during a
+                // network partition.
                 self.taken_back.insert(zone.clone(), now);
                 true
             }
         }
     }
 
-    /// Zones that are evacuated, each with the version of the operators' word.
+    /// Evacuated zones, each with the version of the operators' row.
     pub(super) fn evacuated(&self) -> impl Iterator<Item = (&ZoneId, RowVersion)> {
         self.evacuated
             .iter()
@@ -81,7 +82,7 @@
         self.evacuated.contains_key(zone)
     }
 
-    /// When a zone was taken back, if it ever was.
+    /// When a zone was last taken back, if ever.
     pub(super) fn taken_back_at(&self, zone: &ZoneId) -> Option<Duration> {
         self.taken_back.get(zone).copied()
     }
