--- a/crates/amaranthscale/src/gateway/process/batch_owner.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_owner.rs
@@ -275,7 +275,7 @@
         let now = self.arguments.cluster_view.clock().now();
         let bounds = self.arguments.cold_allowance;
         let with_use = own.into_iter().map(|server| {
-            let terms = routing.cold_terms(&server.service, bounds);
+            let terms = routing.cold_limits(&server.service, bounds);
             (server, servers.availability_of(server, terms, now))
         });
         self.batcher.set_servers(&routing, with_use, now);
--- a/crates/amaranthscale/src/gateway/process/server_uses.rs
+++ b/crates/amaranthscale/src/gateway/process/server_uses.rs
@@ -146,7 +146,7 @@
     /// What holds of a service's cold servers.
     fn cold_terms(&self, service: &ServiceId) -> Option<ColdLimits> {
         let routing = self.cluster_view.routing()?;
-        routing.cold_terms(service, self.bounded.bounds())
+        routing.cold_limits(service, self.bounded.bounds())
     }
 
     fn share_basis(
--- a/crates/core/src/version.rs
+++ b/crates/core/src/version.rs
@@ -1,9 +1,9 @@
-//! What lives for a version of shared configuration.
+//! Shared configuration and its versions.
 //!
 //! The settings tree holds the organisations, pipelines and services. A [`TreeEdit`] applied to a
-//! [`SettingsTree`] gives the next version, checked as a whole. [`CompiledTree`] answers the
-//! questions of a request from values computed once per version. [`TreeLog`] takes newer versions
-//! from the table and from other processes, and never goes back.
+//! [`SettingsTree`] gives the next version, which is validated as a whole. [`CompiledTree`] serves
+//! look-ups by requests from values computed once per version. [`TreeLog`] applies newer versions
+//! from the table and from other processes, and never goes back to an older one.
 
 mod compiled_tree;
 mod conditional_write;
--- a/crates/core/src/version/compiled_tree.rs
+++ b/crates/core/src/version/compiled_tree.rs
@@ -1,11 +1,11 @@
-//! A tree made ready for the questions of requests.
+//! A settings tree indexed for look-ups by requests.
 
 use std::collections::BTreeMap;
 
 use super::{EffectiveSettings, KeyHash, Pipeline, Service, SettingsTree, TreeError};
 use crate::id::{OrganisationId, PipelineId, ServiceId, TreeVersion};
 
-/// A checked tree with the values in force computed once, and an index of keys.
+/// A validated tree with precomputed effective settings and an index of keys.
 ///
 /// # Examples
 ///
@@ -19,7 +19,7 @@
 ///     key_hash: Some(KeyHash::of("a bearer key")),
 /// })?;
 /// let compiled = CompiledTree::new(tree)?;
-/// let (caller, _) = compiled.caller("a bearer key").ok_or("nobody's key")?;
+/// let (caller, _) = compiled.caller("a bearer key").ok_or("unknown key")?;
 /// assert_eq!(caller.as_str(), "mill");
 /// assert!(compiled.caller("another").is_none());
 /// # Ok::<(), Box<dyn std::error::Error>>(())
@@ -28,12 +28,12 @@
 pub struct CompiledTree {
     tree: SettingsTree,
     effective: BTreeMap<OrganisationId, EffectiveSettings>,
-    /// Organisations by the first bytes of their key's hash; a list as these may coincide.
+    /// Organisations by the first bytes of their key's hash; a list, as prefixes may collide.
     by_key: BTreeMap<u64, Vec<(KeyHash, OrganisationId)>>,
 }
 
 impl CompiledTree {
-    /// Checks a tree and computes what is in force.
+    /// Validates a tree and computes the effective settings.
     pub fn new(tree: SettingsTree) -> Result<Self, TreeError> {
         tree.check()?;
         let effective = tree
@@ -49,16 +49,18 @@
         })
     }
 
-    /// Organisation of a bearer key, and what is in force for it.
+    /// Returns the organisation of a bearer key and its effective settings.
     #[must_use]
     pub fn caller(&self, bearer: impl AsRef<str>) -> Option<(&OrganisationId, &EffectiveSettings)> {
-        let asked = KeyHash::of(bearer);
-        let candidates = self.by_key.get(&asked.prefix())?;
-        let (_, id) = candidates.iter().find(|(hash, _)| hash.matches(&asked))?;
+        let key_hash = KeyHash::of(bearer);
+        let candidates = self.by_key.get(&key_hash.prefix())?;
+        let (_, id) = candidates
+            .iter()
+            .find(|(hash, _)| hash.matches(&key_hash))?;
         self.effective.get_key_value(id)
     }
 
-    /// Values in force for an organisation.
+    /// Effective settings of an organisation.
     #[must_use]
     pub fn organisation(&self, id: &OrganisationId) -> Option<&EffectiveSettings> {
         self.effective.get(id)
--- a/crates/core/src/version/conditional_write.rs
+++ b/crates/core/src/version/conditional_write.rs
@@ -1,20 +1,20 @@
-//! One conditional write whose answer may be lost and whose effect may come late.
+//! A conditional write whose reply may be lost and which may take effect late.
 //!
-//! The table may apply a write after its caller has given up on the answer. A read that still
-//! shows the old row therefore settles nothing: the write may take effect after the read. Only a
-//! row that has moved on settles it, so the very same write is repeated until the row has moved.
+//! The table may apply a write after its caller has stopped waiting for the reply. A read that
+//! still shows the old row therefore does not settle the write: it may take effect after the read.
+//! Only a newer row version settles it, so the same write is sent again until the version changes.
 //!
-//! What one read can tell, with `expected` the version that the write names:
+//! Next step after a read, where `expected` is the version that the write is conditional on:
 //!
-//! | version read | write id in the row | previous write id | step |
+//! | row version | write id | previous write id | step |
 //! |---|---|---|---|
-//! | below `expected` | any | any | read again: the read is older than the one we started from |
+//! | below `expected` | any | any | read again: this read is older than the write |
 //! | `expected` | any | any | send the same write again |
 //! | `expected` + 1 | ours | any | won |
 //! | `expected` + 1 | another | any | lost |
-//! | `expected` + 2 | any | ours | superseded: ours took effect, then another |
+//! | `expected` + 2 | any | ours | superseded: our write took effect, then another one |
 //! | `expected` + 2 | any | another | lost |
-//! | anything else | any | any | undecided: the history is no longer visible |
+//! | anything else | any | any | undecided: the row no longer shows what happened |
 
 mod envelope;
 mod step;
@@ -27,13 +27,14 @@
 use crate::id::{RowVersion, WriteId};
 use crate::wire::{Row, RowCheck, RowWrite, Transaction, TransactionReply};
 
-/// A conditional write on its way to being settled.
+/// State machine of one conditional write until it is settled.
 ///
-/// Its first step is to send [`ConditionalWrite::transaction`]; what follows, it says itself.
+/// Send [`ConditionalWrite::transaction`] first; [`ConditionalWrite::next`] returns each further
+/// step.
 ///
 /// # Examples
 ///
-/// The answer is lost, and the row read back shows our write id:
+/// The reply is lost, and the row read back shows our write id:
 ///
 /// ```
 /// use amaranthscale_core::id::{RowVersion, WriteId};
@@ -64,9 +65,9 @@
 }
 
 impl ConditionalWrite {
-    /// Prepares a write of one row.
+    /// Creates a write of one row that is conditional on the row's version.
     ///
-    /// The write id must be unique: it is all that tells one writer's row from another's.
+    /// The write id must be unique: it is the only way to recognise the row of this write.
     #[must_use]
     pub fn new(
         key: impl Into<String>,
@@ -84,9 +85,9 @@
         }
     }
 
-    /// Names the row that this write replaces, so that its writer can see that it had won.
+    /// Records the write id of the replaced row, so that its writer can see that it took effect.
     ///
-    /// A row at another version than the expected one is no predecessor and is left out.
+    /// A row at another version than the expected one is not the predecessor and is ignored.
     #[must_use]
     pub fn replacing(mut self, row: &Row) -> Self {
         if row.version != self.expected {
@@ -98,7 +99,7 @@
         self
     }
 
-    /// Commits only if another row is at its version too.
+    /// Makes the commit conditional on the version of another row as well.
     #[must_use]
     pub fn also_checking(mut self, check: RowCheck) -> Self {
         self.checks.push(check);
@@ -112,13 +113,13 @@
         self
     }
 
-    /// Key of the row that decides.
+    /// Key of the row that the write is conditional on.
     #[must_use]
     pub fn key(&self) -> &str {
         &self.key
     }
 
-    /// What to send; the same each time.
+    /// The transaction to send, the same each time.
     #[must_use]
     pub fn transaction(&self) -> Transaction {
         let own_check = RowCheck {
@@ -139,17 +140,17 @@
         }
     }
 
-    /// Takes what happened and says what to do.
+    /// Handles an event and returns the next step.
     ///
-    /// Once settled, it stays settled.
+    /// After the write is settled, every event returns the same step.
     pub fn next(&mut self, event: WriteEvent) -> WriteStep {
         if let Some(settled) = &self.settled {
             return settled.clone();
         }
         let step = match event {
-            WriteEvent::Replied(TransactionReply::Committed(rows)) => self.committed(rows),
-            WriteEvent::Replied(TransactionReply::Conflict(rows)) => self.conflict(rows),
-            WriteEvent::ReadBack(row) => self.judge(row),
+            WriteEvent::Replied(TransactionReply::Committed(rows)) => self.evaluate_commit(rows),
+            WriteEvent::Replied(TransactionReply::Conflict(rows)) => self.evaluate_conflict(rows),
+            WriteEvent::ReadBack(row) => self.evaluate_row(row),
             WriteEvent::Lost | WriteEvent::ReadLost => WriteStep::ReadBack,
         };
         if step.is_settled() {
@@ -159,54 +160,54 @@
         step
     }
 
-    /// Settles a commit by the row that it brings, not by the word.
+    /// Evaluates a "committed" reply by the row that it contains.
     ///
-    /// A late reply to an earlier write of the same caller says "committed" too. Believing it would
-    /// show as a claim that we never held, so the row must carry our write id.
-    fn committed(&self, rows: Vec<Row>) -> WriteStep {
+    /// A late reply to an earlier write of the same caller is "committed" too. Trusting it could
+    /// take a claim for ours that we never held, so the row must contain our write id.
+    fn evaluate_commit(&self, rows: Vec<Row>) -> WriteStep {
         match rows.into_iter().find(|row| row.key == self.key) {
-            Some(row) => self.judge(row),
+            Some(row) => self.evaluate_row(row),
             None => WriteStep::ReadBack,
         }
     }
 
-    /// Settles a conflict, which may be with our own earlier sending.
+    /// Evaluates a conflict, which may be with an earlier sending of the same write.
     ///
-    /// A repeated write whose first sending took effect meets its own row. Taking every conflict
-    /// for a loss would show as a claim that nobody holds, so the row decides, not the reply.
-    fn conflict(&self, rows: Vec<Row>) -> WriteStep {
-        let has_moved = rows
+    /// If the first sending took effect, a repeated one conflicts with its own row. Treating every
+    /// conflict as lost would leave a claim that nobody holds, so the row decides, not the reply.
+    fn evaluate_conflict(&self, rows: Vec<Row>) -> WriteStep {
+        let has_other_version = rows
             .iter()
             .any(|row| row.key == self.key && row.version != self.expected);
         let decisive = rows.into_iter().find(|row| {
-            if has_moved {
+            if has_other_version {
                 row.key == self.key
             } else {
-                self.is_overtaken_by(row)
+                self.fails_check_on(row)
             }
         });
         match decisive {
-            Some(row) if row.key == self.key => self.judge(row),
+            Some(row) if row.key == self.key => self.evaluate_row(row),
             Some(row) => WriteStep::LostTo { row },
             None => WriteStep::ReadBack,
         }
     }
 
-    /// Whether another checked row has moved on, so that no sending of ours can commit any more.
-    fn is_overtaken_by(&self, row: &Row) -> bool {
+    /// Whether another checked row has a newer version, so that this write can no longer commit.
+    fn fails_check_on(&self, row: &Row) -> bool {
         self.checks
             .iter()
             .any(|check| check.key == row.key && check.version < row.version)
     }
 
-    fn judge(&self, row: Row) -> WriteStep {
+    fn evaluate_row(&self, row: Row) -> WriteStep {
         if row.version < self.expected {
             return WriteStep::ReadBack;
         }
         if row.version == self.expected {
-            // Our write may still be on its way and take effect after this read. Settling for
-            // "lost" here shows as a row that we disowned and yet hold; a repeat of the same write
-            // is harmless, since only one of the two can find this version.
+            // Our write may still be in flight and take effect after this read. Treating it as lost
+            // here would leave a row that is ours although we gave it up. Sending the same write
+            // again is harmless, since only one of the two can find this version.
             return WriteStep::Send;
         }
         let envelope = Envelope::parse(&row.value).ok();
@@ -218,11 +219,11 @@
                 WriteStep::LostTo { row }
             };
         }
-        self.judge_later(row, envelope)
+        self.evaluate_later_row(row, envelope)
     }
 
-    /// Settles by the one step of history that a later row shows.
-    fn judge_later(&self, row: Row, envelope: Option<Envelope>) -> WriteStep {
+    /// Evaluates a row two or more versions later, which shows only the write id before its own.
+    fn evaluate_later_row(&self, row: Row, envelope: Option<Envelope>) -> WriteStep {
         let is_second = row.version == self.expected.next().next();
         match envelope.and_then(|envelope| envelope.previous_write_id) {
             Some(previous) if is_second && previous == self.envelope.write_id => {
--- a/crates/core/src/version/conditional_write/envelope.rs
+++ b/crates/core/src/version/conditional_write/envelope.rs
@@ -1,4 +1,4 @@
-//! What every row of ours holds around its body.
+//! The envelope around the body of each of our rows.
 
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
@@ -6,10 +6,10 @@
 use crate::id::WriteId;
 
 quick_error! {
-    /// A row's value that none of our writers wrote.
+    /// Error for a row's value that is not an envelope.
     #[derive(Debug)]
     pub enum EnvelopeError {
-        /// Not the JSON that our writers write.
+        /// The value is not the JSON of an envelope.
         Malformed(cause: serde_json::Error) {
             display("the row's value is no envelope: {cause}; check who else writes the table")
             source(cause)
@@ -18,14 +18,14 @@
     }
 }
 
-/// A row's body together with the marks of its writer.
+/// A row's body with the ids of the write and of the one before it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Mark of the write that the row shows.
+    /// Id of the write that wrote this row.
     pub write_id: WriteId,
-    /// Mark of the write before it, if its writer had read that row.
+    /// Id of the write that it replaced, if the writer had read that row.
     pub previous_write_id: Option<WriteId>,
-    /// What the row is about.
+    /// Content of the row.
     pub body: String,
 }
 
@@ -40,19 +40,18 @@
         }
     }
 
-    /// Reads a row's value.
+    /// Parses a row's value.
     pub fn parse(value: impl AsRef<str>) -> Result<Self, EnvelopeError> {
         Ok(serde_json::from_str(value.as_ref())?)
     }
 
-    /// The row's value for this envelope.
+    /// Serialises the envelope as a row's value.
     ///
     /// # Panics
     ///
     /// Never for an envelope, which holds only text.
     #[must_use]
     pub fn to_value(&self) -> String {
-        // Reached only if an envelope came to hold something that JSON cannot carry: a bug.
         serde_json::to_string(self).expect("an envelope holds only text")
     }
 }
--- a/crates/core/src/version/conditional_write/step.rs
+++ b/crates/core/src/version/conditional_write/step.rs
@@ -1,43 +1,43 @@
-//! What a conditional write hears, and what it asks for.
+//! Events and steps of a conditional write.
 
 use crate::wire::{Row, TransactionReply};
 
-/// What happened to a conditional write.
+/// Event in the course of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteEvent {
-    /// The table answered.
+    /// The table replied to the transaction.
     Replied(TransactionReply),
-    /// No answer came; the write may have taken effect, or may yet.
+    /// No reply came; the write may have taken effect, or may still do so.
     Lost,
-    /// The row as read after a lost answer.
+    /// The row as read after a lost reply.
     ReadBack(Row),
-    /// The read brought no answer.
+    /// The read got no reply.
     ReadLost,
 }
 
-/// What to do next about a conditional write.
+/// Next step of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteStep {
-    /// Send the same transaction, again if it was sent before.
+    /// Send the transaction, again if it was sent before.
     Send,
     /// Read the row.
     ReadBack,
-    /// Our write took effect, and the row still shows it.
+    /// Our write took effect and is the current row.
     Won {
         /// The row as we wrote it.
         row: Row,
     },
-    /// Our write took effect, and another has replaced it since.
+    /// Our write took effect and was replaced by another one.
     Superseded {
-        /// The row of the writer that replaced ours.
+        /// The row that replaced ours.
         row: Row,
     },
     /// Our write did not take effect and never will.
     LostTo {
-        /// The row that overtook us.
+        /// The row that was written instead, or the newer row that fails a check.
         row: Row,
     },
-    /// Our write can no longer take effect; whether it did is no longer visible.
+    /// Our write can no longer take effect; the row does not show whether it did.
     Undecided {
         /// The row as it is now.
         row: Row,
@@ -45,7 +45,7 @@
 }
 
 impl WriteStep {
-    /// Whether nothing is left to do.
+    /// Whether the write is settled.
     #[must_use]
     pub const fn is_settled(&self) -> bool {
         !matches!(self, Self::Send | Self::ReadBack)
--- a/crates/core/src/version/edit_record.rs
+++ b/crates/core/src/version/edit_record.rs
@@ -1,4 +1,4 @@
-//! An accepted edit as the table keeps it.
+//! An accepted edit as stored in the table.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,17 +9,17 @@
 use crate::id::{RowVersion, TreeVersion, WriteId};
 use crate::wire::{RowCheck, RowWrite, Transaction};
 
-/// An edit, the version that it made, and who made it.
+/// An edit with the version that it created and its author.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EditRecord {
-    /// Version of the tree with this edit.
+    /// Version of the tree after this edit.
     pub version: TreeVersion,
-    /// What was changed.
+    /// The change.
     pub edit: TreeEdit,
     /// Operator who made the edit.
     pub by: String,
-    /// Marks the write, so that its lost answer can be settled by reading the row.
+    /// Id of the write, by which the row shows whether a write with a lost reply took effect.
     pub write_id: WriteId,
 }
 
@@ -34,21 +34,22 @@
     ///
     /// # Panics
     ///
-    /// Only if the record holds something that JSON cannot carry, which is a bug.
+    /// Never: all types of a record can be written as JSON.
     #[must_use]
     pub fn to_json(&self) -> String {
-        serde_json::to_string(self).expect("a record holds only what JSON can carry")
+        serde_json::to_string(self).expect("a record can be written as JSON")
     }
 
-    /// Key of the row that keeps the edit of a version.
+    /// Key of the row that stores the edit of a version.
     #[must_use]
     pub fn row_key(version: TreeVersion) -> String {
         format!("tree/edit/{:020}", version.get())
     }
 
-    /// The transaction that puts this edit in force on top of the head that was read.
+    /// Builds the transaction that puts this edit in force on top of the head that was read.
     ///
-    /// `tree` is the tree with the edit applied; it is kept whole at every snapshot.
+    /// `tree` is the tree with the edit applied; it is stored whole every [`SNAPSHOT_EVERY_EDITS`]
+    /// edits.
     #[must_use]
     pub fn transaction(&self, head: RowVersion, tree: &SettingsTree) -> Transaction {
         let edit_key = Self::row_key(self.version);
@@ -63,9 +64,9 @@
         if self.version.get().is_multiple_of(SNAPSHOT_EVERY_EDITS) {
             writes.push(row_write(TREE_SNAPSHOT_KEY, tree.to_json()));
         }
-        // Failure: two operators edit the same version at the same moment, and the second edit
-        // silently undoes the first. Guard: the head must still be at the row version that was
-        // read, so one of the two transactions does not commit and its operator is told.
+        // Without the check of the head, two operators could edit the same version at the same time
+        // and the second edit would silently undo the first. With it, only one of the two
+        // transactions commits, and the other operator gets a conflict.
         let checks = vec![
             row_check(TREE_HEAD_KEY, head),
             row_check(edit_key, RowVersion::default()),
--- a/crates/core/src/version/effective_settings.rs
+++ b/crates/core/src/version/effective_settings.rs
@@ -1,4 +1,4 @@
-//! The values in force for one organisation.
+//! Settings in force for one organisation.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,22 +6,22 @@
 use crate::id::PipelineId;
 use crate::unit::{Class, RatePerSecond, Weight};
 
-/// Values in force for one organisation, each with its source.
+/// Settings in force for one organisation, each with the organisation that sets it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EffectiveSettings {
-    /// Whether the organisation pays.
+    /// Whether its work is paid or trial.
     pub class: Sourced<Class>,
     /// Whether the organisation or an ancestor is suspended.
     pub is_suspended: Sourced<bool>,
-    /// Requests per second over all entries.
+    /// Limit on requests per second, over all entries.
     pub limit_per_second: Sourced<RatePerSecond>,
     /// Share within its class.
     pub weight: Sourced<Weight>,
-    /// Requests at once over all entries.
+    /// Limit on requests in flight, over all entries.
     pub max_in_flight: Sourced<u32>,
     /// Pipelines that it may use.
     pub pipelines: Sourced<Vec<PipelineId>>,
-    /// Deadline of a request that names none.
+    /// Default deadline of a request.
     pub deadline_ms: Sourced<u64>,
 }
 
--- a/crates/core/src/version/key_hash.rs
+++ b/crates/core/src/version/key_hash.rs
@@ -1,4 +1,4 @@
-//! The hash by which a bearer key is known.
+//! Hash of a bearer key.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,21 +10,21 @@
 
 /// Bytes of a SHA-256 hash.
 const HASH_BYTES: usize = 32;
-/// Bytes by which an index finds a hash before the full comparison.
+/// Bytes of the prefix by which an index finds candidates for the full comparison.
 const PREFIX_BYTES: usize = 8;
 
 quick_error! {
-    /// A text that is no hash of a key.
+    /// Error for text that is not the hash of a key.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum InvalidKeyHash {
-        /// Not 64 hexadecimal digits. The text may be a key itself, so it is not repeated.
+        /// Not 64 hexadecimal digits. The text may be the key itself, so the message omits it.
         Malformed(length_bytes: usize) {
             display("a key hash of {length_bytes} bytes cannot be read: give the SHA-256 of the key as 64 hexadecimal digits")
         }
     }
 }
 
-/// SHA-256 of a bearer key; the key itself is kept nowhere.
+/// SHA-256 of a bearer key; the key itself is not stored.
 #[derive(Clone, Copy, SerializeDisplay, DeserializeFromStr)]
 pub struct KeyHash([u8; HASH_BYTES]);
 
@@ -35,7 +35,7 @@
         Self(Sha256::digest(bearer.as_ref().as_bytes()).into())
     }
 
-    /// Compares in a time that does not depend on where two hashes differ.
+    /// Compares two hashes in constant time.
     #[must_use]
     pub fn matches(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
@@ -43,7 +43,7 @@
 
     /// First bytes, by which an index finds candidates.
     ///
-    /// Whoever tries keys cannot steer their hashes, so the time of this look-up tells nothing.
+    /// The hash of a guessed key cannot be chosen, so the duration of this look-up reveals nothing.
     pub(super) fn prefix(&self) -> u64 {
         self.0[..PREFIX_BYTES]
             .iter()
--- a/crates/core/src/version/lease.rs
+++ b/crates/core/src/version/lease.rs
@@ -1,11 +1,11 @@
-//! The lease of the one planner, kept in a row of the table.
+//! The planner's lease, stored in a row of the table.
 //!
-//! A lease keeps planners from working against each other; it keeps nothing safe by itself, since
-//! its holder may be paused past its end and wake up still believing in it. Safety comes from the
-//! transaction that writes a plan: it checks that the lease row has not moved on.
+//! The lease lets one planner work at a time, but it guarantees nothing by itself: its holder may
+//! be paused past the lease's expiry and resume as if it still held it. The guarantee comes from
+//! the transaction that writes a plan, which checks that the lease row has not changed.
 //!
-//! No clock time is in the row. A holder renews by writing the row again; a rival takes over once
-//! the row has shown the same version for the whole duration by the rival's own clock.
+//! The row contains no clock time. The holder renews the lease by writing the row again; another
+//! planner takes over once the row has kept its version for the whole duration by its own clock.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 
 /// Row that holds the planner's lease.
 pub const LEASE_KEY: &str = "planner-lease";
-/// Renewals that fit into a lease's duration; two may be lost before the lease lapses.
+/// Renewals per lease duration; two may be lost before the lease expires.
 const RENEWALS_PER_DURATION: u32 = 3;
 
 /// Body of the lease row.
@@ -26,23 +26,23 @@
 pub struct LeaseRow {
     /// Host of the planner.
     pub holder: HostId,
-    /// Life of the planner's process.
+    /// Incarnation of the planner's process.
     pub incarnation: Incarnation,
-    /// Number of this holder, higher than that of any before.
+    /// Fencing number of this holder, higher than that of any earlier one.
     pub fencing: FencingNumber,
 }
 
-/// Proof of a lease, as it was when last seen.
+/// A lease that this process holds, as last read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldLease {
-    /// Number of the holder.
+    /// Fencing number of the holder.
     pub fencing: FencingNumber,
-    /// Version of the lease row that shows it.
+    /// Version of the lease row.
     pub version: RowVersion,
 }
 
 impl HeldLease {
-    /// The check that fails once another has written the lease row.
+    /// The check that fails once the lease row has been written again.
     #[must_use]
     pub fn check(&self) -> RowCheck {
         RowCheck {
@@ -52,81 +52,82 @@
     }
 }
 
-/// One process's view of the planner's lease.
+/// One planner's view of the lease.
 #[derive(Debug, Clone)]
 pub struct PlannerLease {
     host: HostId,
     incarnation: Incarnation,
     duration: Duration,
-    seen: Option<SeenRow>,
+    observed: Option<ObservedRow>,
 }
 
-/// The newest lease row seen, and since when.
+/// The newest lease row read, and the time since when it has been current.
 #[derive(Debug, Clone)]
-struct SeenRow {
+struct ObservedRow {
     row: Row,
     since: SidecarClock,
 }
 
 impl PlannerLease {
-    /// Starts without knowing who holds the lease.
+    /// Creates a view that has not read the lease row yet.
     #[must_use]
     pub fn new(host: HostId, incarnation: Incarnation, duration: Duration) -> Self {
         Self {
             host,
             incarnation,
             duration,
-            seen: None,
+            observed: None,
         }
     }
 
-    /// Takes a row as read, or as a write of ours left it.
+    /// Records the lease row as read or as written by us.
     ///
-    /// `asked` is the time just before the request was sent, so that a slow answer cannot make our
-    /// own lease look longer than it is.
-    pub fn observe(&mut self, row: &Row, asked: SidecarClock) {
-        let is_newer = |seen: &SeenRow| row.version > seen.row.version;
-        if self.seen.as_ref().is_none_or(is_newer) {
-            self.seen = Some(SeenRow {
+    /// `requested_at` is the time just before the request was sent, so that a slow reply cannot
+    /// make our own lease seem longer than it is.
+    pub fn observe(&mut self, row: &Row, requested_at: SidecarClock) {
+        let is_newer = |observed: &ObservedRow| row.version > observed.row.version;
+        if self.observed.as_ref().is_none_or(is_newer) {
+            self.observed = Some(ObservedRow {
                 row: row.clone(),
-                since: asked,
+                since: requested_at,
             });
         }
     }
 
-    /// The write that is due: to renew our lease, or to take over one that is free or has lapsed.
+    /// The write that is due: a renewal of our lease, or a takeover of one that is free or expired.
     #[must_use]
     pub fn next_write(&self, now: SidecarClock, write_id: WriteId) -> Option<ConditionalWrite> {
-        let seen = self.seen.as_ref()?;
-        let silence = seen.since.until(now);
-        let own = self.own_fencing(seen);
+        let observed = self.observed.as_ref()?;
+        let unchanged_for = observed.since.until(now);
+        let own = self.own_fencing(observed);
         let is_due = match own {
-            Some(_) => silence >= self.duration / RENEWALS_PER_DURATION,
-            None => is_absent(&seen.row) || silence >= self.duration,
+            Some(_) => unchanged_for >= self.duration / RENEWALS_PER_DURATION,
+            None => is_absent(&observed.row) || unchanged_for >= self.duration,
         };
         if !is_due {
             return None;
         }
-        let fencing = own.unwrap_or_else(|| next_fencing(&seen.row));
-        Some(self.write_over(&seen.row, fencing, write_id))
+        let fencing = own.unwrap_or_else(|| next_fencing(&observed.row));
+        Some(self.write_over(&observed.row, fencing, write_id))
     }
 
-    /// The lease, if it is ours and has not lapsed by our clock.
+    /// The lease, if it is ours and has not expired by our clock.
     ///
-    /// After a pause this may be outdated; [`HeldLease::check`] belongs into every transaction.
+    /// After a pause this may be out of date, so every transaction must include
+    /// [`HeldLease::check`].
     #[must_use]
     pub fn held(&self, now: SidecarClock) -> Option<HeldLease> {
-        let seen = self.seen.as_ref()?;
-        let fencing = self.own_fencing(seen)?;
-        let is_lapsed = seen.since.until(now) >= self.duration;
-        (!is_lapsed).then_some(HeldLease {
+        let observed = self.observed.as_ref()?;
+        let fencing = self.own_fencing(observed)?;
+        let is_expired = observed.since.until(now) >= self.duration;
+        (!is_expired).then_some(HeldLease {
             fencing,
-            version: seen.row.version,
+            version: observed.row.version,
         })
     }
 
-    fn own_fencing(&self, seen: &SeenRow) -> Option<FencingNumber> {
-        let envelope = Envelope::parse(&seen.row.value).ok()?;
+    fn own_fencing(&self, observed: &ObservedRow) -> Option<FencingNumber> {
+        let envelope = Envelope::parse(&observed.row.value).ok()?;
         let lease: LeaseRow = serde_json::from_str(&envelope.body).ok()?;
         let is_ours = lease.holder == self.host && lease.incarnation == self.incarnation;
         is_ours.then_some(lease.fencing)
@@ -138,8 +139,7 @@
             incarnation: self.incarnation,
             fencing,
         };
-        // Reached only if a lease came to hold something that JSON cannot carry: a bug.
-        let body = serde_json::to_string(&lease).expect("a lease has a form in JSON");
+        let body = serde_json::to_string(&lease).expect("a lease can be written as JSON");
         ConditionalWrite::new(LEASE_KEY, row.version, body, write_id).replacing(row)
     }
 }
@@ -148,10 +148,10 @@
     row.version == RowVersion::default()
 }
 
-/// A number above that of every holder before.
+/// A fencing number above that of every earlier holder.
 ///
-/// Each write raises the row's version, so the version grows with each holder even if a row in
-/// between cannot be read.
+/// Each write raises the row's version, so the version grows with each holder even if some row in
+/// between is unreadable.
 fn next_fencing(row: &Row) -> FencingNumber {
     FencingNumber::new(row.version.next().get())
 }
--- a/crates/core/src/version/organisation.rs
+++ b/crates/core/src/version/organisation.rs
@@ -6,14 +6,14 @@
 use crate::id::OrganisationId;
 use crate::unit::{Class, RatePerSecond};
 
-/// One organisation, which inherits from its parent what it does not set.
+/// One organisation; what it does not set it inherits from its parent.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
     /// Organisation to inherit from; none at the root.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<OrganisationId>,
-    /// Whether it pays.
+    /// Whether its work is paid or trial.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub class: Option<Class>,
     /// Whether it is suspended, and its descendants with it.
@@ -22,13 +22,13 @@
     /// Hash of its bearer key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key_hash: Option<KeyHash>,
-    /// Values that it sets itself.
+    /// Settings that it sets itself.
     #[serde(default)]
     pub overrides: Overrides,
 }
 
 impl Organisation {
-    /// An organisation that inherits everything from a parent.
+    /// Creates an organisation that inherits everything from a parent.
     #[must_use]
     pub fn under(parent: OrganisationId) -> Self {
         Self {
@@ -51,7 +51,7 @@
         self
     }
 
-    /// Sets one field from text, as an operator writes it.
+    /// Sets one field from an operator's text.
     pub(super) fn set(
         &mut self,
         id: &OrganisationId,
@@ -87,7 +87,7 @@
         Ok(())
     }
 
-    /// Clears one field, so that it is inherited again.
+    /// Clears one field, so that it is inherited.
     pub(super) fn unset(&mut self, field: OverrideField) {
         let overrides = &mut self.overrides;
         match field {
--- a/crates/core/src/version/override_field.rs
+++ b/crates/core/src/version/override_field.rs
@@ -1,4 +1,4 @@
-//! The names of the values that an organisation can set.
+//! Names of the settings that an organisation can set.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,36 +7,36 @@
 use serde::{Deserialize, Serialize};
 
 quick_error! {
-    /// A text that names no field.
+    /// Error for text that is not the name of a field.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum InvalidOverrideField {
-        /// Not in the list.
+        /// No field has this name.
         Unknown(text: String) {
             display("field {text:?} is unknown: use class, limit_per_second, weight, max_in_flight, pipelines or deadline_ms")
         }
     }
 }
 
-/// Field that an organisation sets or inherits.
+/// A setting that an organisation sets or inherits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OverrideField {
-    /// Whether the organisation pays.
+    /// Whether its work is paid or trial.
     Class,
-    /// Requests per second over all entries.
+    /// Limit on requests per second, over all entries.
     LimitPerSecond,
     /// Share within its class.
     Weight,
-    /// Requests at once over all entries.
+    /// Limit on requests in flight, over all entries.
     MaxInFlight,
     /// Pipelines that it may use.
     Pipelines,
-    /// Deadline of a request that names none.
+    /// Default deadline of a request.
     DeadlineMs,
 }
 
 impl OverrideField {
-    /// Every field, in the order in which it is shown.
+    /// Every field, in display order.
     pub const ALL: &'static [Self] = &[
         Self::Class,
         Self::LimitPerSecond,
@@ -46,7 +46,7 @@
         Self::DeadlineMs,
     ];
 
-    /// The name in the tree and on the command line.
+    /// The name used in the tree and on the command line.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
--- a/crates/core/src/version/pipeline.rs
+++ b/crates/core/src/version/pipeline.rs
@@ -4,7 +4,7 @@
 
 use super::Stage;
 
-/// Most stages of a pipeline. Their shared deadline leaves little to each beyond that.
+/// Maximum stages of a pipeline: with more, the shared deadline leaves too little time for each.
 pub const MAX_STAGES: usize = 8;
 
 /// Stages that a request passes through in order.
@@ -16,7 +16,7 @@
 }
 
 impl Pipeline {
-    /// A pipeline without stages yet.
+    /// Creates a pipeline without stages.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -29,7 +29,7 @@
         self
     }
 
-    /// Whether a whole request may be tried again.
+    /// Whether a whole request may be retried.
     #[must_use]
     pub fn is_repeatable(&self) -> bool {
         self.stages.iter().all(|stage| stage.is_repeatable)
--- a/crates/core/src/version/placement.rs
+++ b/crates/core/src/version/placement.rs
@@ -1,10 +1,10 @@
-//! Which engine is to run what, and the orders that bring it there.
+//! The models that each engine should run, and the orders to the engines.
 //!
 //! The planner writes the wanted placement into one row, in a transaction that checks its lease.
-//! Each sidecar reads that row, only ever moves up, and alone orders its engine, with the row's
-//! version as the fencing number. Engines that refuse old numbers are safe against any delay.
-//! Engines that ignore the number are safe because their one caller never goes back and sends one
-//! order at a time.
+//! Each sidecar reads that row, never goes back to an older version, and is the only one to send
+//! orders to its engine, with the row's version as the fencing number. Engines that refuse old
+//! numbers are safe against any delay. Engines that ignore the number are safe because their one
+//! sidecar never goes back and sends one order at a time.
 
 mod assignment;
 mod engine_orders;
--- a/crates/core/src/version/placement/assignment.rs
+++ b/crates/core/src/version/placement/assignment.rs
@@ -1,4 +1,4 @@
-//! What one engine is to run.
+//! The models and phases assigned to one engine.
 
 use std::collections::BTreeSet;
 
@@ -6,26 +6,26 @@
 
 use crate::id::ModelId;
 
-/// Which phases of generation an engine serves.
+/// Phases of generation that an engine serves.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
-    /// Prompts and generation.
+    /// Prompt processing and generation.
     #[default]
     Mixed,
-    /// Prompts alone.
+    /// Prompt processing only.
     Prefill,
-    /// Generation alone.
+    /// Generation only.
     Decode,
 }
 
-/// What one engine is to run.
+/// The models and phases assigned to one engine.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Assignment {
-    /// Models, adapters among them, that are to be loaded; all others are to be unloaded.
+    /// Models to load, adapters included; the engine unloads all others.
     pub models: BTreeSet<ModelId>,
-    /// Phases that the engine is to serve.
+    /// Phases that the engine serves.
     pub role: EngineRole,
 }
--- a/crates/core/src/version/placement/engine_orders.rs
+++ b/crates/core/src/version/placement/engine_orders.rs
@@ -1,4 +1,4 @@
-//! The orders of one sidecar to its engine.
+//! Orders from one sidecar to its engine.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 pub struct EngineOrder {
     /// Fencing number of the order.
     pub number: PlacementVersion,
-    /// What the engine is to run.
+    /// Models and phases that the engine should run.
     pub assignment: Assignment,
-    /// Whether the order before it got no answer; close that order's connection first.
+    /// Whether the previous order got no answer; its connection must be closed first.
     pub replaces_unanswered: bool,
 }
 
-/// Decides which order the engine gets next, one at a time.
+/// Decides which order to send to the engine next, one at a time.
 #[derive(Debug, Clone)]
 pub struct EngineOrders {
     host: HostId,
@@ -26,13 +26,13 @@
     refusal_pause: Duration,
     view: PlacementView,
     in_flight: Option<InFlight>,
-    /// What the engine has confirmed, or was last heard to run.
+    /// What the engine last confirmed or reported as running.
     confirmed: Option<Assignment>,
-    /// Until when a refused order waits.
+    /// Time before which no order is sent after a refusal.
     not_before: SidecarClock,
 }
 
-/// An order whose answer has not come.
+/// An order that has not been answered.
 #[derive(Debug, Clone)]
 struct InFlight {
     number: PlacementVersion,
@@ -41,7 +41,7 @@
 }
 
 impl EngineOrders {
-    /// Starts without knowing the placement or the engine.
+    /// Creates the state before the placement or the engine's report has been read.
     #[must_use]
     pub fn new(host: HostId, retry_after: Duration) -> Self {
         Self {
@@ -55,19 +55,19 @@
         }
     }
 
-    /// Sets how long a refused order waits; as long as a silent one, if this is not called.
+    /// Sets the delay after a refused order; by default the same as after an unanswered one.
     #[must_use]
     pub fn with_refusal_pause(mut self, pause: Duration) -> Self {
         self.refusal_pause = pause;
         self
     }
 
-    /// Takes the placement row as read.
+    /// Applies the placement row as read.
     pub fn observe(&mut self, row: &Row) -> PlacementUpdate {
         self.view.observe(row)
     }
 
-    /// The newest placement seen.
+    /// The newest placement read.
     #[must_use]
     pub fn view(&self) -> &PlacementView {
         &self.view
@@ -76,7 +76,7 @@
     /// The order to send now, if one is due.
     ///
     /// Nothing is due before the placement was read: a restarted sidecar does not know what its
-    /// earlier life ordered, and an older order would undo it.
+    /// earlier incarnation ordered, and an older order would undo it.
     pub fn next(&mut self, now: SidecarClock) -> Option<EngineOrder> {
         let is_waiting = |order: &InFlight| order.sent.until(now) < self.retry_after;
         if !self.view.is_read()
@@ -86,9 +86,9 @@
             return None;
         }
         let wanted = self.wanted()?;
-        // Two orders under way at once may be carried out in either order by an engine that
-        // ignores the number. So the next goes out only after an answer, or after silence and on a
-        // new connection, and it then carries what is wanted now.
+        // An engine that ignores the fencing number may carry out two orders in flight in either
+        // sequence. So the next order is sent only after an answer, or after a timeout on a new
+        // connection, and contains what is wanted now.
         let replaces_unanswered = self.in_flight.is_some();
         if !replaces_unanswered && self.confirmed.as_ref() == Some(&wanted) {
             return None;
@@ -106,16 +106,16 @@
         })
     }
 
-    /// Takes the engine's word that it has carried out an order.
+    /// Records that the engine has carried out an order.
     ///
-    /// An answer to an order that was replaced meanwhile is dropped.
+    /// An answer to an order that has been replaced is ignored.
     pub fn confirmed(&mut self, number: PlacementVersion) {
         if let Some(order) = self.in_flight.take_if(|order| order.number == number) {
             self.confirmed = Some(order.assignment);
         }
     }
 
-    /// Takes the engine's refusal of an order; after a while it is due again, as wanted then.
+    /// Records that the engine refused an order; after a delay one is due again, as wanted then.
     pub fn refused(&mut self, number: PlacementVersion, now: SidecarClock) {
         if self
             .in_flight
@@ -127,17 +127,17 @@
         }
     }
 
-    /// Takes what the engine reports to run, as read while no order was under way.
+    /// Records what the engine reports as running; ignored while an order is in flight.
     ///
-    /// An engine that restarted has forgotten its orders, and one that ignores the number may have
-    /// carried out an old one late. Its own report shows either, and the order is due again.
+    /// A restarted engine has lost its orders, and one that ignores the fencing number may have
+    /// carried out an old order late. Its report shows either case, and the order is due again.
     pub fn observe_running(&mut self, running: Assignment) {
         if self.in_flight.is_none() {
             self.confirmed = Some(running);
         }
     }
 
-    /// What the engine is to run; none while the placement does not name it.
+    /// The engine's assignment; `None` while the placement does not contain it.
     #[must_use]
     pub fn wanted(&self) -> Option<Assignment> {
         self.view.placement().assignments.get(&self.host).cloned()
--- a/crates/core/src/version/placement/plan.rs
+++ b/crates/core/src/version/placement/plan.rs
@@ -1,4 +1,4 @@
-//! The wanted placement, and how its planner writes it.
+//! The wanted placement, and the writes of its planner.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +11,13 @@
 
 /// Row that holds the wanted placement.
 pub const PLACEMENT_KEY: &str = "placement";
-/// Row that holds the placement's version alone.
+/// Row that holds only the placement's version.
 ///
-/// The placement of 660 engines is some fifty kilobytes long; whoever polls reads this row, and the
-/// placement only once it has moved.
+/// The placement of 660 engines is about fifty kilobytes long, so pollers read this row, and the
+/// placement only when its version has changed.
 pub const PLACEMENT_HEAD_KEY: &str = "placement/head";
 
-/// The write of the head row that goes with a version of the placement.
+/// The write of the head row for a version of the placement.
 #[must_use]
 pub fn placement_head(version: PlacementVersion) -> RowWrite {
     RowWrite {
@@ -26,26 +26,26 @@
     }
 }
 
-/// The version that a head row tells; none if there is none yet or it cannot be read.
+/// Parses the version in a head row; `None` if the row is absent or unreadable.
 #[must_use]
 pub fn read_placement_head(row: &Row) -> Option<PlacementVersion> {
     row.value.parse().ok()
 }
 
-/// What every engine is to run.
+/// The assignments of all engines.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// Number of the planner that wrote it.
+    /// Fencing number of the planner that wrote it.
     pub fencing: FencingNumber,
-    /// Settings tree that it was planned from.
+    /// Version of the settings tree that it was planned from.
     #[serde(default)]
     pub tree_version: TreeVersion,
-    /// Assignment by host of the engine; a host not named keeps what it has.
+    /// Assignment by host of the engine; a host that is absent is left as it is.
     pub assignments: BTreeMap<HostId, Assignment>,
 }
 
 impl Placement {
-    /// Reads a row of the table; none if no planner of ours wrote it.
+    /// Parses a row of the table; `None` if it is not a placement.
     #[must_use]
     pub fn parse(row: &Row) -> Option<Self> {
         let envelope = Envelope::parse(&row.value).ok()?;
@@ -53,15 +53,15 @@
     }
 }
 
-/// Writes a plan over the one that its planner has read.
+/// Builds the write of a plan over the placement that its planner has read.
 ///
-/// A planner that was paused past the end of its lease wakes up and writes what it had planned. It
-/// would undo the plan of its successor, so the transaction also checks the lease row: that row has
-/// moved on with the successor's claim, and the whole write fails.
+/// A planner that was paused past the expiry of its lease may resume and write an outdated plan,
+/// undoing the plan of its successor. So the transaction also checks the lease row: the successor
+/// has written it, and the whole transaction fails.
 ///
 /// # Panics
 ///
-/// Never for a placement, whose types all have a form in JSON.
+/// Never: all types of a placement can be written as JSON.
 #[must_use]
 pub fn placement_write(
     lease: &HeldLease,
@@ -76,8 +76,7 @@
         assignments,
     };
     let version = PlacementVersion::new(current.version.next().get());
-    // Reached only if a placement came to hold something that JSON cannot carry: a bug.
-    let body = serde_json::to_string(&placement).expect("a placement has a form in JSON");
+    let body = serde_json::to_string(&placement).expect("a placement can be written as JSON");
     ConditionalWrite::new(PLACEMENT_KEY, current.version, body, write_id)
         .replacing(current)
         .also_checking(lease.check())
--- a/crates/core/src/version/placement/view.rs
+++ b/crates/core/src/version/placement/view.rs
@@ -1,21 +1,21 @@
-//! The newest placement that a process has seen.
+//! The newest placement that a process has read.
 
 use super::{PLACEMENT_KEY, Placement};
 use crate::id::PlacementVersion;
 use crate::wire::Row;
 
-/// What came of a row offered to a view.
+/// Result of observing a placement row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementUpdate {
-    /// It is newer and is the view now.
+    /// The row is newer and has replaced the view.
     Applied,
-    /// The view has this version or a newer one.
+    /// The view already has this version or a newer one.
     NotNewer,
-    /// It cannot be read; the view stays.
+    /// The row is unreadable; the view is unchanged.
     Corrupt,
 }
 
-/// The newest placement that a process has seen; it only moves up.
+/// The newest placement that a process has read; its version never decreases.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PlacementView {
     is_read: bool,
@@ -24,23 +24,23 @@
 }
 
 impl PlacementView {
-    /// Starts without having read the placement.
+    /// Creates a view before the placement was read.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a row, if it is newer.
+    /// Applies a row, if it is newer.
     ///
-    /// Answers of the table overtake each other. Following an older one would show as an engine
-    /// that unloads the model it has just loaded, so only a higher version counts.
+    /// Replies of the table may arrive out of order. Applying an older row would make an engine
+    /// unload the model it has just loaded, so only a higher version is applied.
     pub fn observe(&mut self, row: &Row) -> PlacementUpdate {
         let version = PlacementVersion::new(row.version.get());
         if row.key != PLACEMENT_KEY {
             return PlacementUpdate::Corrupt;
         }
         if version <= self.version {
-            // An absent row has version 0: it is read, and there is nothing to do.
+            // An absent row has version 0 and counts as read.
             self.is_read = true;
             return PlacementUpdate::NotNewer;
         }
@@ -53,19 +53,19 @@
         PlacementUpdate::Applied
     }
 
-    /// Whether the row was read since the process started.
+    /// Whether the row has been read since the process started.
     #[must_use]
     pub fn is_read(&self) -> bool {
         self.is_read
     }
 
-    /// Version of the placement; 0 while none is known.
+    /// Version of the placement; 0 before one was read.
     #[must_use]
     pub fn version(&self) -> PlacementVersion {
         self.version
     }
 
-    /// The placement.
+    /// The newest placement.
     #[must_use]
     pub fn placement(&self) -> &Placement {
         &self.placement
--- a/crates/core/src/version/placement_plan.rs
+++ b/crates/core/src/version/placement_plan.rs
@@ -1,13 +1,13 @@
-//! Decides which engine is to run which model.
+//! Plans which engine runs which model.
 //!
-//! The decision starts from the placement in force and changes as little as it can: a replica
-//! stays where it is while its host is live and its model is wanted. Missing replicas go to the
-//! availability zone that has the fewest of the model, there to the engine with the fewest models.
-//! Loads are paced, as the weight store of a region is rate-limited: only so many replicas that
-//! have not been reported as loaded are placed there at once, and the others wait for a later plan.
+//! A plan starts from the placement in force and changes as little as possible: a replica stays
+//! where it is while its host is live and its model is wanted. Missing replicas are placed in the
+//! availability zone with the fewest replicas of the model, there on the engine with the fewest
+//! models. The weight store of a region is rate-limited, so the replicas of a region that are not
+//! yet reported as loaded are limited in number, and the others wait for a later plan.
 //!
-//! A host that is leaving, or that has gone from the host list, loses its replicas in the plan. It
-//! is then not named at all, so its engine keeps its models until the last request on it has ended.
+//! A host that is leaving or no longer in the host list loses its replicas in the plan. It is left
+//! out of the plan, so its engine keeps its models until the last request on it has ended.
 
 mod draft;
 mod load_tracker;
@@ -31,17 +31,17 @@
 #[doc(inline)]
 pub use shortfall::Shortfall;
 
-/// Decides the placement that follows the present one.
+/// Plans the placement that follows the current one.
 ///
-/// The same question always has the same answer, so that planners that follow each other agree.
+/// The same input always gives the same plan, so that successive planners agree.
 #[must_use]
-pub fn plan_placement(question: &PlanInput<'_>) -> PlannedPlacement {
-    let mut draft = Draft::new(question);
+pub fn plan_placement(input: &PlanInput<'_>) -> PlannedPlacement {
+    let mut draft = Draft::new(input);
     let mut shortfalls = Vec::new();
     let mut waiting_loads = 0;
-    for (service_id, service) in question.managed_services() {
-        let engines = question.live_engines(service_id);
-        draft.keep(&engines, service);
+    for (service_id, service) in input.managed_services() {
+        let engines = input.live_engines(service_id);
+        draft.retain_wanted(&engines, service);
         for (model, replicas) in &service.models {
             draft.remove_surplus(&engines, model, *replicas);
             let missing = draft.add_missing(&engines, model, *replicas);
@@ -62,7 +62,7 @@
     }
 }
 
-/// Counts by some key, zero where none was counted.
+/// Returns the count of a key, zero if it has none.
 fn count_of<K: Ord>(counts: &BTreeMap<K, u32>, key: &K) -> u32 {
     counts.get(key).copied().unwrap_or_default()
 }
--- a/crates/core/src/version/placement_plan/load_tracker.rs
+++ b/crates/core/src/version/placement_plan/load_tracker.rs
@@ -1,4 +1,4 @@
-//! Which replicas of a placement are loaded.
+//! Tracks which replicas of a placement are loaded.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,13 +7,13 @@
 use crate::unit::SidecarClock;
 use crate::version::Assignment;
 
-/// Which replicas of a placement are loaded, as far as their sidecars have said.
+/// Tracks which replicas of a placement their sidecars have reported as loaded.
 ///
-/// It lives in the planner's memory. A new planner takes every replica for one that is loading
-/// until it has heard otherwise, and so paces too much rather than too little.
+/// The state is in the planner's memory only. A new planner counts every replica as loading until
+/// it is reported as loaded, and so starts too few loads rather than too many.
 #[derive(Debug, Clone)]
 pub struct LoadTracker {
-    patience: Duration,
+    load_timeout: Duration,
     replicas: BTreeMap<(HostId, ModelId), Progress>,
 }
 
@@ -24,16 +24,17 @@
 }
 
 impl LoadTracker {
-    /// Starts without replicas; a load is overdue once it has taken longer than the patience.
+    /// Creates a tracker without replicas; a load is overdue after `load_timeout`.
     #[must_use]
-    pub fn new(patience: Duration) -> Self {
+    pub fn new(load_timeout: Duration) -> Self {
         Self {
-            patience,
+            load_timeout,
             replicas: BTreeMap::new(),
         }
     }
 
-    /// Takes the placement in force: new replicas are loading from now on, others are forgotten.
+    /// Sets the placement in force: new replicas are loading from `now` on, removed ones are
+    /// dropped.
     pub fn set_placement(&mut self, assignments: &BTreeMap<HostId, Assignment>, now: SidecarClock) {
         let placed = |host: &HostId, model: &ModelId| {
             let assignment = assignments.get(host);
@@ -49,10 +50,10 @@
         }
     }
 
-    /// Takes what an engine was last heard to run.
+    /// Marks the replicas that an engine reports as running as loaded.
     pub fn observe_running(&mut self, host: &HostId, running: &Assignment) {
-        let of_host = self.replicas.iter_mut().filter(|((h, _), _)| h == host);
-        for ((_, model), progress) in of_host {
+        let replicas_on_host = self.replicas.iter_mut().filter(|((h, _), _)| h == host);
+        for ((_, model), progress) in replicas_on_host {
             if running.models.contains(model) {
                 *progress = Progress::Loaded;
             }
@@ -68,23 +69,23 @@
 
     /// Replicas that are loading and not overdue.
     pub fn in_flight(&self, now: SidecarClock) -> impl Iterator<Item = (&HostId, &ModelId)> {
-        self.split(now, false)
+        self.loading_replicas(now, false)
     }
 
-    /// Replicas that have been loading for too long.
+    /// Replicas that have been loading for longer than the timeout.
     ///
-    /// They no longer hold back other loads: an engine that cannot load a model would otherwise
-    /// stop the pace of its whole region for good.
+    /// They no longer count against the limit on loads: an engine that cannot load a model would
+    /// otherwise block all loads in its region forever.
     pub fn overdue(&self, now: SidecarClock) -> impl Iterator<Item = (&HostId, &ModelId)> {
-        self.split(now, true)
+        self.loading_replicas(now, true)
     }
 
-    fn split(
+    fn loading_replicas(
         &self,
         now: SidecarClock,
         wants_overdue: bool,
     ) -> impl Iterator<Item = (&HostId, &ModelId)> {
-        let is_overdue = move |since: SidecarClock| since.until(now) >= self.patience;
+        let is_overdue = move |since: SidecarClock| since.until(now) >= self.load_timeout;
         self.loading()
             .filter(move |(_, since)| is_overdue(*since) == wants_overdue)
             .map(|((host, model), _)| (host, model))
--- a/crates/core/src/version/placement_plan/plan_input.rs
+++ b/crates/core/src/version/placement_plan/plan_input.rs
@@ -1,4 +1,4 @@
-//! What a plan is made from.
+//! Input of a plan.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::version::{Assignment, Service};
 use crate::wire::{HostList, HostRecord, HostState};
 
-/// What a plan is made from.
+/// Input of a plan.
 #[derive(Debug, Clone, Copy)]
 pub struct PlanInput<'a> {
     /// Services of the settings tree.
@@ -17,22 +17,22 @@
     pub hosts: &'a HostList,
     /// Placement in force.
     pub current: &'a BTreeMap<HostId, Assignment>,
-    /// Which replicas are loaded.
+    /// Load state of the replicas.
     pub loads: &'a LoadTracker,
-    /// Present time.
+    /// Current time.
     pub now: SidecarClock,
-    /// Bounds.
+    /// Limits on the plan.
     pub limits: PlanLimits,
 }
 
 impl<'a> PlanInput<'a> {
-    /// Services that want models; the engines of others are left alone.
+    /// Services with wanted models; the engines of other services are left as they are.
     pub(super) fn managed_services(&self) -> impl Iterator<Item = (&'a ServiceId, &'a Service)> {
         let services = self.services.iter();
         services.filter(|(_, service)| !service.models.is_empty())
     }
 
-    /// Hosts of a service that take work.
+    /// Live hosts of a service.
     pub(super) fn live_engines(&self, service: &ServiceId) -> Vec<&'a HostRecord> {
         let is_wanted = |record: &&HostRecord| {
             record.state == HostState::Live && record.service.as_ref() == Some(service)
--- a/crates/core/src/version/routing.rs
+++ b/crates/core/src/version/routing.rs
@@ -1,7 +1,7 @@
-//! The routing that operators publish: routes, services, organisations' keys and bounds.
+//! The routing that operators publish: routes, services, organisations' keys and limits.
 //!
-//! One version is compiled once and then shared by all requests: a request looks its route up by
-//! host name and longest path prefix and its organisation by key, and decides nothing else here.
+//! Each version is compiled once and shared by all requests. A request looks up its route by host
+//! name and longest path prefix, and its organisation by key.
 
 mod bounds;
 mod host_routes;
@@ -47,7 +47,7 @@
 }
 
 impl fmt::Debug for Routing {
-    // The keys of the holders' map are secrets.
+    // The keys of the map are secrets, so only its values are shown.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Routing")
             .field("version", &self.version)
@@ -60,7 +60,7 @@
 }
 
 impl Routing {
-    /// Starts a version without routes.
+    /// Creates a version without routes.
     #[must_use]
     pub fn new(version: RoutingVersion, bounds: CallerBounds) -> Self {
         Self {
@@ -70,12 +70,12 @@
         }
     }
 
-    /// Adds routes; of two with one host name and prefix the first holds.
+    /// Adds routes; of two with the same host name and prefix the first is used.
     #[must_use]
     pub fn with_routes(mut self, routes: impl IntoIterator<Item = Route>) -> Self {
         for route in routes {
-            let of_host = self.routes.entry(route.host.clone()).or_default();
-            of_host.add(Arc::new(route));
+            let host_routes = self.routes.entry(route.host.clone()).or_default();
+            host_routes.add(Arc::new(route));
         }
         self
     }
@@ -88,7 +88,7 @@
         self
     }
 
-    /// Asks for keys on all routes that are not public, and adds who holds which.
+    /// Requires keys on all routes that are not public, and adds their holders.
     #[must_use]
     pub fn with_holders(mut self, holders: impl IntoIterator<Item = KeyHolder>) -> Self {
         self.requires_keys = true;
@@ -107,19 +107,19 @@
         self.version
     }
 
-    /// What callers may send.
+    /// Limits on what callers may send.
     #[must_use]
     pub const fn bounds(&self) -> &CallerBounds {
         &self.bounds
     }
 
-    /// Whether routes that are not public need a key.
+    /// Whether routes that are not public require a key.
     #[must_use]
     pub const fn requires_keys(&self) -> bool {
         self.requires_keys
     }
 
-    /// The route of a host name with the longest prefix of a path.
+    /// The route of a host name whose prefix is the longest match for a path.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.routes.get(host)?.find(path)
@@ -131,20 +131,21 @@
         self.holders.get(key)
     }
 
-    /// A service.
+    /// The server pool of a service.
     #[must_use]
     pub fn pool(&self, service: &ServiceId) -> Option<&Pool> {
         self.pools.get(service)
     }
 
-    /// What holds of a service's cold servers under the operators' bounds, if it can have any.
+    /// Limits for a service's cold servers with the operators' allowance; `None` if its servers are
+    /// never cold.
     #[must_use]
-    pub fn cold_terms(&self, service: &ServiceId, bounds: ColdAllowance) -> Option<ColdLimits> {
+    pub fn cold_limits(&self, service: &ServiceId, allowance: ColdAllowance) -> Option<ColdLimits> {
         let spec = self.pool(service)?.cold?;
-        Some(spec.with_allowance(bounds))
+        Some(spec.with_allowance(allowance))
     }
 
-    /// All services.
+    /// The server pools of all services.
     pub fn pools(&self) -> impl Iterator<Item = &Pool> {
         self.pools.values()
     }
--- a/crates/core/src/version/routing/bounds.rs
+++ b/crates/core/src/version/routing/bounds.rs
@@ -1,17 +1,17 @@
-//! What a caller may send.
+//! Limits on callers' requests.
 
 use std::time::Duration;
 
-/// Bounds on what callers send and on how long they take.
+/// Limits on the size of callers' requests and the time to receive them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerBounds {
-    /// Most bytes of headers.
+    /// Maximum size of the headers.
     pub max_header_bytes: usize,
-    /// Most bytes of a body.
+    /// Maximum size of a body.
     pub max_body_bytes: usize,
-    /// Longest wait for a request's headers.
+    /// Maximum time to receive a request's headers.
     pub header_timeout: Duration,
-    /// Longest pause between two requests of a connection.
+    /// Maximum idle time between two requests on a connection.
     pub idle_timeout: Duration,
 }
 
--- a/crates/core/src/version/routing/key_holder.rs
+++ b/crates/core/src/version/routing/key_holder.rs
@@ -1,4 +1,4 @@
-//! Who holds which key.
+//! Organisations and their keys.
 
 use std::fmt;
 
@@ -9,14 +9,14 @@
 pub struct KeyHolder {
     /// Name of the organisation.
     pub organisation: OrganisationId,
-    /// Keys that its callers send.
+    /// Keys that its callers may send.
     pub keys: Vec<String>,
-    /// Rank of its requests, 0 first; goes before the route's.
+    /// Priority of its requests, 0 first; overrides the route's.
     pub priority: Option<u8>,
 }
 
 impl fmt::Debug for KeyHolder {
-    // Keys are secrets: logs say how many there are.
+    // Keys are secrets, so only their number is shown.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("KeyHolder")
             .field("organisation", &self.organisation)
--- a/crates/core/src/version/routing/pool.rs
+++ b/crates/core/src/version/routing/pool.rs
@@ -1,53 +1,53 @@
-//! Services: pools of interchangeable backend servers.
+//! Server pools: the interchangeable backend servers of a service.
 
 use std::time::Duration;
 
 use crate::id::ServiceId;
 use crate::process::ColdSpec;
 
-/// A service as operators describe it.
+/// The backend servers of a service, as operators specify them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Pool {
     /// Name of the service.
     pub service: ServiceId,
-    /// Connections that one server accepts from all callers together.
+    /// Connections that one server accepts in total.
     pub max_connections: usize,
-    /// What an engine of the service can do, if it is a service of engines.
+    /// Capacity of one engine, if the service runs engines.
     pub engine: Option<EngineSpec>,
-    /// What a server of the service can do, if it makes pieces of stages.
+    /// Batch capacity of one server, if the service computes pieces of stages.
     pub batch: Option<BatchSpec>,
-    /// What a server of the service takes while it is cold, if it can be.
+    /// Limits of a cold server, if the service's servers can be cold.
     pub cold: Option<ColdSpec>,
 }
 
-/// What one engine can do.
+/// Capacity of one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineSpec {
-    /// Requests at once.
+    /// Concurrent requests.
     pub slots: usize,
-    /// Memory for running requests and cached prompts.
+    /// Memory for running requests and cached prompts, in tokens.
     pub memory_tokens: u64,
 }
 
-/// What one server of a stage service can do.
+/// Batch capacity of one server of a stage service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BatchSpec {
-    /// Calls in work at once.
+    /// Concurrent calls.
     pub slots: usize,
-    /// Most pieces in one call.
+    /// Maximum pieces in one call.
     pub max_pieces: usize,
-    /// Time of a call without pieces.
+    /// Fixed time of a call.
     pub call_time: Duration,
-    /// Time that each piece adds.
+    /// Additional time of each piece.
     pub piece_time: Duration,
-    /// Room for results that are kept.
+    /// Capacity of the result storage.
     pub result_capacity_bytes: u64,
-    /// How long a result is kept unless it is freed.
+    /// How long a result is stored unless it is freed.
     pub result_retention: Duration,
 }
 
 impl BatchSpec {
-    /// Time of a call with so many pieces.
+    /// Time of a call with a number of pieces.
     #[must_use]
     pub fn call_time_for(&self, pieces: usize) -> Duration {
         let pieces = u32::try_from(pieces).unwrap_or(u32::MAX);
--- a/crates/core/src/version/routing/route.rs
+++ b/crates/core/src/version/routing/route.rs
@@ -1,26 +1,26 @@
-//! Routes: what a host name and path lead to.
+//! Routes from host names and paths to services.
 
 use std::time::Duration;
 
 use crate::id::{CallId, RouteId, ServiceId};
 use crate::process::rendezvous;
 
-/// What may be repeated on a route.
+/// Whether the requests of a route may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// May run more than once.
     Idempotent,
     /// Runs at most once.
     OnceOnly,
-    /// Answers with events; may be taken up again at another server if resumable.
+    /// Answers with a stream of events.
     Streaming {
-        /// Whether a broken stream may go on at another server.
+        /// Whether a broken stream may be resumed at another server.
         is_resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Whether a request may run again after it may have run.
+    /// Whether a request may be sent again after it may have run.
     #[must_use]
     pub const fn may_repeat(self) -> bool {
         match self {
@@ -37,14 +37,14 @@
     }
 }
 
-/// A stage of work that is done before a request runs.
+/// A stage of work that runs before the request itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteStage {
-    /// Service that makes the stage's pieces.
+    /// Service that computes the stage's pieces.
     pub service: ServiceId,
-    /// Stages whose results it needs, by index.
+    /// Indexes of the stages whose results it needs.
     pub after: Vec<usize>,
-    /// Usual size of one result.
+    /// Typical size of one result.
     pub result_bytes: u64,
 }
 
@@ -55,31 +55,31 @@
     pub id: RouteId,
     /// Host name that it serves.
     pub host: String,
-    /// Start of the paths that it serves.
+    /// Prefix of the paths that it serves.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be repeated.
     pub kind: RouteKind,
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time that a caller waits for the answer.
     pub timeout: Duration,
-    /// Time within which an answer has its full worth.
+    /// Time within which an answer has its full value.
     pub target_latency: Duration,
-    /// Rank, 0 first.
+    /// Priority, 0 first.
     pub priority: u8,
-    /// Services with their shares.
+    /// Services with their shares of the requests.
     pub services: Vec<(ServiceId, u32)>,
-    /// Most servers that one request is sent to.
+    /// Maximum number of servers that one request is sent to.
     pub max_attempts: u32,
-    /// Work before the request itself.
+    /// Stages that run before the request itself.
     pub stages: Vec<RouteStage>,
     /// Whether no key is needed.
     pub is_public: bool,
 }
 
 impl Route {
-    /// The service for a send; the same send always goes to the same one.
+    /// Chooses the service for a call; the same call always gets the same one.
     #[must_use]
     pub fn service_for(&self, call: &CallId) -> Option<&ServiceId> {
-        let draw = rendezvous::score(0, call);
+        let score = rendezvous::score(0, call);
         let total: u64 = self
             .services
             .iter()
@@ -88,12 +88,12 @@
         if total == 0 {
             return self.services.first().map(|(service, _)| service);
         }
-        let mut left = draw % total;
+        let mut remaining = score % total;
         for (service, share) in &self.services {
-            if left < u64::from(*share) {
+            if remaining < u64::from(*share) {
                 return Some(service);
             }
-            left -= u64::from(*share);
+            remaining -= u64::from(*share);
         }
         None
     }
--- a/crates/core/src/version/service.rs
+++ b/crates/core/src/version/service.rs
@@ -6,9 +6,9 @@
 
 use crate::id::ModelId;
 
-/// A group of interchangeable backend servers, and which of its calls may be repeated.
+/// A group of interchangeable backend servers, with the calls that may be repeated.
 ///
-/// A listed path stands for itself and all below it; the longest listed path decides.
+/// A listed path covers itself and all paths below it; the longest listed match decides.
 ///
 /// # Examples
 ///
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Whether calls may be repeated where no listed path says otherwise.
+    /// Whether calls may be repeated where no listed path matches.
     pub is_repeatable: bool,
     /// Paths that may be repeated.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -30,18 +30,18 @@
     /// Paths that may not be repeated.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub not_repeatable_paths: Vec<String>,
-    /// Deadline of a direct call that names none.
+    /// Default deadline of a direct call.
     pub default_deadline_ms: u64,
-    /// Wanted replicas by model; while empty, the engines are given no orders.
+    /// Wanted replicas by model; while empty, the engines get no orders.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub models: BTreeMap<ModelId, u32>,
 }
 
-/// Deadline of a direct call while nothing else is set.
+/// Deadline of a direct call if none is set.
 const DEFAULT_DEADLINE_MS: u64 = 5_000;
 
 impl Service {
-    /// A service whose calls may be repeated.
+    /// Creates a service whose calls may be repeated.
     #[must_use]
     pub fn repeatable() -> Self {
         Self {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A service whose calls may not be repeated.
+    /// Creates a service whose calls may not be repeated.
     #[must_use]
     pub fn not_repeatable() -> Self {
         Self {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Treats a path and all below it unlike the rest of the service.
+    /// Makes a path and all paths below it an exception to the rest of the service.
     #[must_use]
     pub fn except(mut self, path: impl Into<String>) -> Self {
         let exceptions = if self.is_repeatable {
@@ -74,14 +74,14 @@
         self
     }
 
-    /// Sets the deadline of a direct call that names none.
+    /// Sets the default deadline of a direct call.
     #[must_use]
     pub fn with_deadline_ms(mut self, deadline_ms: u64) -> Self {
         self.default_deadline_ms = deadline_ms;
         self
     }
 
-    /// Wants a number of the service's engines to have a model loaded.
+    /// Sets the wanted number of replicas of a model.
     #[must_use]
     pub fn with_model(mut self, model: ModelId, replicas: u32) -> Self {
         self.models.insert(model, replicas);
@@ -95,10 +95,10 @@
         if self.is_repeatable && self.not_repeatable_paths.is_empty() {
             return true;
         }
-        // Failure: a settlement asked for as "/x/../settlements" or "/%73ettlements" passes for
-        // a repeatable call, and a retry pays a grower twice. Guard: a path that a backend server
-        // may read in another way than we do never counts as repeatable here.
-        if !is_plain(path) {
+        // A settlement requested as "/x/../settlements" or "/%73ettlements" would match no listed
+        // path and count as repeatable, and a retry would pay a grower twice. So a path that a
+        // backend server may interpret differently is never repeatable here.
+        if !is_unambiguous(path) {
             return false;
         }
         let allowed = longest_match(&self.repeatable_paths, path);
@@ -110,8 +110,8 @@
     }
 }
 
-/// Whether a path starts with a slash and can be read in one way only.
-pub(super) fn is_plain(path: &str) -> bool {
+/// Whether a path starts with a slash and has only one interpretation.
+pub(super) fn is_unambiguous(path: &str) -> bool {
     let is_plain_byte = |byte: u8| byte.is_ascii_graphic() && !b"%\\?#;".contains(&byte);
     let is_plain_segment = |segment: &str| !segment.is_empty() && segment != "." && segment != "..";
     let Some(rest) = path.strip_prefix('/') else {
@@ -123,7 +123,7 @@
 
 /// Length of the longest listed path that covers a path.
 ///
-/// Letters match in either case, as some backend servers read them so.
+/// Case is ignored, since some backend servers ignore it.
 fn longest_match(listed: &[String], path: &str) -> Option<usize> {
     let path = path.to_ascii_lowercase();
     let covers = |prefix: &String| {
--- a/crates/core/src/version/settings_tree.rs
+++ b/crates/core/src/version/settings_tree.rs
@@ -14,18 +14,18 @@
 /// Name of the organisation from which all others inherit.
 pub const ROOT_NAME: &str = "root";
 
-/// Limit of an organisation in a tree where nobody has set one.
+/// Request rate limit in a new tree.
 const INITIAL_LIMIT_PER_SECOND: f64 = 10.0;
-/// Requests at once of an organisation in a tree where nobody has set them.
+/// Limit on requests in flight in a new tree.
 const INITIAL_MAX_IN_FLIGHT: u32 = 64;
-/// Deadline in a tree where nobody has set one.
+/// Default deadline in a new tree.
 const INITIAL_DEADLINE_MS: u64 = 10_000;
 
 /// Organisations, pipelines and services at one version.
 ///
-/// An organisation's own value replaces its parent's in either direction: a parent's limit is a
-/// default for those below it and not a cap on their sum, so that one paying customer can have
-/// more than the rest without raising the limit of all.
+/// An organisation's own value replaces its parent's, whether higher or lower: a parent's limit is
+/// a default for its descendants and not a limit on their sum, so that one paying organisation can
+/// have more than the rest without raising the limit of all.
 ///
 /// # Examples
 ///
@@ -35,7 +35,7 @@
 /// let tree = SettingsTree::empty();
 /// let edit = r#"{"kind":"create_organisation","id":"mill","parent":"root","class":"paid"}"#;
 /// let tree = tree.apply(&TreeEdit::from_json(edit)?)?;
-/// let mill = tree.effective(&"mill".parse()?).ok_or("not there")?;
+/// let mill = tree.effective(&"mill".parse()?).ok_or("not in the tree")?;
 /// assert_eq!(mill.class.from.as_str(), "mill");
 /// assert_eq!(mill.weight.from.as_str(), "root");
 /// # Ok::<(), Box<dyn std::error::Error>>(())
@@ -54,13 +54,14 @@
     /// Services by name.
     #[serde(default)]
     pub services: BTreeMap<ServiceId, Service>,
-    /// Availability zones whose backend servers get nothing until they are taken back.
+    /// Evacuated availability zones: their backend servers get no requests until the zones are
+    /// taken back.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub evacuated_zones: BTreeSet<ZoneId>,
 }
 
 impl SettingsTree {
-    /// A tree at version 0 with just the root.
+    /// Creates a tree at version 0 with only the root.
     #[must_use]
     pub fn empty() -> Self {
         Self {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Reads a tree from JSON and checks it.
+    /// Reads a tree from JSON and validates it.
     pub fn from_json(text: impl AsRef<str>) -> Result<Self, TreeError> {
         let tree: Self = serde_json::from_str(text.as_ref())
             .map_err(|e| TreeError::Malformed("tree", e.to_string()))?;
@@ -84,76 +85,77 @@
     ///
     /// # Panics
     ///
-    /// Only if the types of the tree hold something that JSON cannot carry, which is a bug.
+    /// Never: all types of a tree can be written as JSON.
     #[must_use]
     pub fn to_json(&self) -> String {
-        serde_json::to_string(self).expect("a tree holds only what JSON can carry")
+        serde_json::to_string(self).expect("a tree can be written as JSON")
     }
 
-    /// Applies an edit; the next version is checked as a whole.
+    /// Applies an edit and validates the next version as a whole.
     pub fn apply(&self, edit: &TreeEdit) -> Result<Self, TreeError> {
         let mut next = self.clone();
-        next.advance(edit)?;
+        next.apply_unchecked(edit)?;
         next.check()?;
         Ok(next)
     }
 
-    /// Values in force for an organisation; none if it is not in the tree.
+    /// Effective settings of an organisation; `None` if it is not in the tree.
     #[must_use]
     pub fn effective(&self, id: &OrganisationId) -> Option<EffectiveSettings> {
-        let line = self.line(id)?;
+        let ancestry = self.ancestry(id)?;
         Some(EffectiveSettings {
-            class: nearest(&line, |o| o.class)?,
-            is_suspended: suspension(&line)?,
-            limit_per_second: nearest(&line, |o| o.overrides.limit_per_second)?,
-            weight: nearest(&line, |o| o.overrides.weight)?,
-            max_in_flight: nearest(&line, |o| o.overrides.max_in_flight)?,
-            pipelines: nearest(&line, |o| o.overrides.pipelines.clone())?,
-            deadline_ms: nearest(&line, |o| o.overrides.deadline_ms)?,
+            class: nearest(&ancestry, |o| o.class)?,
+            is_suspended: suspension(&ancestry)?,
+            limit_per_second: nearest(&ancestry, |o| o.overrides.limit_per_second)?,
+            weight: nearest(&ancestry, |o| o.overrides.weight)?,
+            max_in_flight: nearest(&ancestry, |o| o.overrides.max_in_flight)?,
+            pipelines: nearest(&ancestry, |o| o.overrides.pipelines.clone())?,
+            deadline_ms: nearest(&ancestry, |o| o.overrides.deadline_ms)?,
         })
     }
 
-    /// Organisation of a bearer key, found by comparing it with all.
+    /// Finds the organisation of a bearer key by comparing all keys.
     ///
-    /// [`CompiledTree::caller`](super::CompiledTree::caller) does the same by an index.
+    /// [`CompiledTree::caller`](super::CompiledTree::caller) does the same with an index.
     #[must_use]
     pub fn organisation_by_key(&self, bearer: impl AsRef<str>) -> Option<OrganisationId> {
-        let asked = KeyHash::of(bearer);
+        let presented_hash = KeyHash::of(bearer);
         let has_key = |organisation: &Organisation| {
             let key_hash = organisation.key_hash.as_ref();
-            key_hash.is_some_and(|key_hash| key_hash.matches(&asked))
+            key_hash.is_some_and(|key_hash| key_hash.matches(&presented_hash))
         };
         let mut found = self.organisations.iter().filter(|(_, o)| has_key(o));
         found.next().map(|(id, _)| id.clone())
     }
 
-    /// Makes the next version in place, without checking it as a whole.
-    pub(super) fn advance(&mut self, edit: &TreeEdit) -> Result<(), TreeError> {
+    /// Applies an edit in place, without validating the next version as a whole.
+    pub(super) fn apply_unchecked(&mut self, edit: &TreeEdit) -> Result<(), TreeError> {
         let next = self.version.next();
         if next == self.version {
             return Err(TreeError::NoNextVersion(next));
         }
-        edit.change(self)?;
+        edit.apply_to(self)?;
         self.version = next;
         Ok(())
     }
 
-    /// An organisation and its ancestors, nearest first; none on a cycle or a missing parent.
-    pub(super) fn line<'a>(
+    /// An organisation and its ancestors, nearest first; `None` if there is a cycle or a missing
+    /// parent.
+    pub(super) fn ancestry<'a>(
         &'a self,
         id: &'a OrganisationId,
     ) -> Option<Vec<(&'a OrganisationId, &'a Organisation)>> {
-        let mut line = Vec::new();
+        let mut ancestry = Vec::new();
         let mut next = Some(id);
         while let Some(id) = next {
             let (id, organisation) = self.organisations.get_key_value(id)?;
-            if line.len() > MAX_DEPTH {
+            if ancestry.len() > MAX_DEPTH {
                 return None;
             }
-            line.push((id, organisation));
+            ancestry.push((id, organisation));
             next = organisation.parent.as_ref();
         }
-        Some(line)
+        Some(ancestry)
     }
 
     pub(super) fn organisation_mut(
@@ -189,7 +191,7 @@
         parent: &OrganisationId,
     ) -> Result<(), TreeError> {
         if id.as_str() == ROOT_NAME {
-            return Err(TreeError::RootIsFixed("moved"));
+            return Err(TreeError::RootImmutable("moved"));
         }
         self.organisation_mut(id)?.parent = Some(parent.clone());
         Ok(())
@@ -219,11 +221,11 @@
     }
 
     pub(super) fn remove_pipeline(&mut self, id: &PipelineId) -> Result<(), TreeError> {
-        let names_it = |organisation: &Organisation| {
+        let allows_it = |organisation: &Organisation| {
             let pipelines = organisation.overrides.pipelines.as_ref();
             pipelines.is_some_and(|pipelines| pipelines.contains(id))
         };
-        let mut users = self.organisations.iter().filter(|(_, o)| names_it(o));
+        let mut users = self.organisations.iter().filter(|(_, o)| allows_it(o));
         if let Some((user, _)) = users.next() {
             return Err(TreeError::PipelineInUse(id.clone(), user.clone()));
         }
@@ -244,27 +246,27 @@
     }
 }
 
-/// The nearest value along a line of ancestors.
+/// The value of the nearest organisation that sets it.
 fn nearest<T>(
-    line: &[(&OrganisationId, &Organisation)],
-    take: impl Fn(&Organisation) -> Option<T>,
+    ancestry: &[(&OrganisationId, &Organisation)],
+    field: impl Fn(&Organisation) -> Option<T>,
 ) -> Option<Sourced<T>> {
-    line.iter().find_map(|(id, organisation)| {
-        let value = take(organisation)?;
+    ancestry.iter().find_map(|(id, organisation)| {
+        let value = field(organisation)?;
         let from = (*id).clone();
         Some(Sourced { value, from })
     })
 }
 
-/// The nearest suspension along a line of ancestors.
-fn suspension(line: &[(&OrganisationId, &Organisation)]) -> Option<Sourced<bool>> {
-    let (own_id, _) = line.first()?;
-    let suspended = nearest(line, |o| o.is_suspended.then_some(true));
-    let free = || Sourced {
+/// The suspension of the nearest suspended organisation, or that there is none.
+fn suspension(ancestry: &[(&OrganisationId, &Organisation)]) -> Option<Sourced<bool>> {
+    let (own_id, _) = ancestry.first()?;
+    let suspended = nearest(ancestry, |o| o.is_suspended.then_some(true));
+    let not_suspended = || Sourced {
         value: false,
         from: (*own_id).clone(),
     };
-    Some(suspended.unwrap_or_else(free))
+    Some(suspended.unwrap_or_else(not_suspended))
 }
 
 pub(super) fn root_id() -> OrganisationId {
--- a/crates/core/src/version/stage.rs
+++ b/crates/core/src/version/stage.rs
@@ -14,15 +14,15 @@
     pub service: ServiceId,
     /// Path at the backend server, with its leading slash.
     pub path: String,
-    /// Whether it may be tried again.
+    /// Whether it may be retried.
     pub is_repeatable: bool,
-    /// Whether its result is passed on while it is made; only the last stage can.
+    /// Whether its result is streamed; only possible for the last stage.
     #[serde(default)]
     pub is_streaming: bool,
 }
 
 impl Stage {
-    /// A repeatable stage at a path of a service.
+    /// Creates a repeatable stage at a path of a service.
     #[must_use]
     pub fn new(name: StageName, service: ServiceId, path: impl Into<String>) -> Self {
         Self {
@@ -34,14 +34,14 @@
         }
     }
 
-    /// Makes the stage one that runs at most once.
+    /// Makes the stage run at most once.
     #[must_use]
     pub fn not_repeatable(mut self) -> Self {
         self.is_repeatable = false;
         self
     }
 
-    /// Passes the result on while it is made.
+    /// Makes the stage stream its result.
     #[must_use]
     pub fn streaming(mut self) -> Self {
         self.is_streaming = true;
--- a/crates/core/src/version/table_copy.rs
+++ b/crates/core/src/version/table_copy.rs
@@ -1,28 +1,28 @@
-//! A copy of one of the store's tables, to hand on to others.
+//! A copy of one of the store's tables, from which other entries can read it.
 //!
-//! Holds what the store said, row for row, with the store's own versions and clock beside it, so
-//! that who gets it from here knows as much as from the store itself, and how old it is. Dropped rows
-//! are remembered for some time: what is asked for from before that is told whole.
+//! The copy has the store's rows with the store's own versions and clock, so that a reader gets the
+//! same data as from the store itself, and its age. Dropped rows are retained for some time;
+//! changes since an earlier version are answered with the whole table.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::id::RowVersion;
 
-/// Dropped rows that are remembered: about as many as a store keeps of its history when thousands
-/// of rows are replaced in turn.
-const MOST_DROPPED: usize = 4_096;
+/// Maximum dropped rows retained: about as many as a store retains in its history when thousands of
+/// rows are replaced in turn.
+const MAX_DROPPED_ROWS: usize = 4_096;
 
-/// What became of a table since a version.
+/// Changes of a table since a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TableChanges<V> {
-    /// All its rows: what was dropped since then is no longer known.
+    /// All rows of the table; the rows dropped since then are no longer known.
     Full(Vec<(String, V, RowVersion)>),
-    /// Rows that were written, and those that were dropped without a value.
+    /// Rows that were written, and dropped ones without a value.
     Incremental(Vec<(String, Option<V>, RowVersion)>),
 }
 
-/// A copy of a table.
+/// A copy of one of the store's tables.
 ///
 /// # Examples
 ///
@@ -44,8 +44,8 @@
     rows: BTreeMap<String, (V, RowVersion)>,
     dropped: BTreeMap<RowVersion, Vec<String>>,
     dropped_rows: usize,
-    /// Version from which on all that was dropped is known.
-    known_from: RowVersion,
+    /// Version since which all dropped rows are known.
+    complete_since: RowVersion,
     version: RowVersion,
     clock: Duration,
 }
@@ -56,7 +56,7 @@
             rows: BTreeMap::new(),
             dropped: BTreeMap::new(),
             dropped_rows: 0,
-            known_from: RowVersion::new(0),
+            complete_since: RowVersion::new(0),
             version: RowVersion::new(0),
             clock: Duration::ZERO,
         }
@@ -64,7 +64,7 @@
 }
 
 impl<V: Clone> TableCopy<V> {
-    /// Takes the whole table as of a moment of the store's clock.
+    /// Replaces all rows with the table as of a version and time of the store.
     pub fn replace(
         &mut self,
         rows: impl IntoIterator<Item = (String, V, RowVersion)>,
@@ -77,12 +77,12 @@
             .collect();
         self.dropped.clear();
         self.dropped_rows = 0;
-        self.known_from = version;
+        self.complete_since = version;
         self.version = version;
         self.clock = self.clock.max(clock);
     }
 
-    /// Takes changes as of a moment of the store's clock.
+    /// Applies changes as of a version and time of the store.
     pub fn change(
         &mut self,
         rows: impl IntoIterator<Item = (String, Option<V>, RowVersion)>,
@@ -100,11 +100,11 @@
         }
         self.version = self.version.max(version);
         self.clock = self.clock.max(clock);
-        while self.dropped_rows > MOST_DROPPED
+        while self.dropped_rows > MAX_DROPPED_ROWS
             && let Some((version, keys)) = self.dropped.pop_first()
         {
             self.dropped_rows -= keys.len();
-            self.known_from = self.known_from.max(version);
+            self.complete_since = self.complete_since.max(version);
         }
     }
 
@@ -114,28 +114,28 @@
         self.rows.get(key).map(|(value, version)| (value, *version))
     }
 
-    /// All rows and their versions, in the order of their keys.
+    /// All rows and their versions, in order of their keys.
     pub fn rows(&self) -> impl Iterator<Item = (&str, &V, RowVersion)> {
         let rows = self.rows.iter();
         rows.map(|(key, (value, version))| (key.as_str(), value, *version))
     }
 
-    /// The version that it is as of.
+    /// Version of the store's table that it reflects.
     #[must_use]
     pub const fn version(&self) -> RowVersion {
         self.version
     }
 
-    /// The store's clock at the moment that it is as of.
+    /// Time by the store's clock that it reflects.
     #[must_use]
     pub const fn clock(&self) -> Duration {
         self.clock
     }
 
-    /// What became of the table since a version.
+    /// Changes of the table since a version.
     #[must_use]
     pub fn changes_since(&self, version: RowVersion) -> TableChanges<V> {
-        if version < self.known_from {
+        if version < self.complete_since {
             let rows = self.rows.iter();
             let rows = rows.map(|(key, (value, version))| (key.clone(), value.clone(), *version));
             return TableChanges::Full(rows.collect());
@@ -143,7 +143,7 @@
         let written = self.rows.iter().filter(|(_, (_, of))| *of > version);
         let written =
             written.map(|(key, (value, version))| (key.clone(), Some(value.clone()), *version));
-        // A key that was written again after it was dropped is a row, and its end is no news.
+        // A key that was written again after it was dropped is listed as a row only.
         let dropped = self.dropped.iter().filter(|(of, _)| **of > version);
         let dropped = dropped.flat_map(|(of, keys)| keys.iter().map(|key| (key.clone(), *of)));
         let dropped = dropped.filter(|(key, _)| !self.rows.contains_key(key));
--- a/crates/core/src/version/tree_check.rs
+++ b/crates/core/src/version/tree_check.rs
@@ -1,10 +1,10 @@
-//! Checks of a whole tree.
+//! Validation of a whole tree.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::ops::RangeInclusive;
 
-use super::service::is_plain;
+use super::service::is_unambiguous;
 use super::settings_tree::root_id;
 use super::{
     MAX_STAGES, Organisation, OverrideField, Pipeline, ROOT_NAME, Service, SettingsTree, Stage,
@@ -12,25 +12,25 @@
 };
 use crate::id::{OrganisationId, PipelineId, ServiceId};
 
-/// Most ancestors of an organisation; deeper trees are mistakes, and each level costs a look-up.
+/// Maximum ancestors of an organisation; deeper trees are mistakes, and each level costs a look-up.
 pub const MAX_DEPTH: usize = 32;
-/// Longest deadline. Answers are kept for a day, so a longer one could not be kept.
+/// Maximum deadline; answers are retained for one day.
 pub const MAX_DEADLINE_MS: u64 = 24 * 60 * 60 * 1000;
-/// Highest limit; above it the entries' counters would lose their meaning.
+/// Maximum rate limit; above it the entries' counters would lose their meaning.
 pub const MAX_LIMIT_PER_SECOND: f64 = 1_000_000.0;
-/// Most requests at once of one organisation; an entry holds fewer in all.
+/// Maximum limit on requests in flight of one organisation; an entry holds fewer in total.
 pub const MAX_IN_FLIGHT: u32 = 1_000_000;
-/// Highest weight; above it the fair queue's shares round to nothing.
+/// Maximum weight; above it the fair queue's shares round to zero.
 pub const MAX_WEIGHT: u32 = 10_000;
-/// Most replicas of a model; more than any service has engines, so a larger number is a slip.
+/// Maximum replicas of a model; no service has as many engines, so a larger number is a mistake.
 pub const MAX_REPLICAS: u32 = 1_000;
 
 impl SettingsTree {
-    /// Checks the tree as a whole.
+    /// Validates the tree as a whole.
     ///
-    /// It holds if the root has every value and is not suspended, every organisation reaches the
-    /// root within [`MAX_DEPTH`] steps, no key is shared, all numbers are in range, and every
-    /// named pipeline and service is there.
+    /// It is valid if the root has every setting and is not suspended, every organisation reaches
+    /// the root within [`MAX_DEPTH`] steps, no key is shared, all numbers are in range, and every
+    /// pipeline and service that is referred to exists.
     pub fn check(&self) -> Result<(), TreeError> {
         self.check_root()?;
         self.check_organisations()?;
@@ -47,16 +47,16 @@
         let root = self.organisations.get(&root_id());
         let root = root.ok_or(TreeError::NoRoot)?;
         if root.parent.is_some() {
-            return Err(TreeError::RootIsFixed("put under a parent"));
+            return Err(TreeError::RootImmutable("put under a parent"));
         }
-        // Failure: one edit suspends the root and every caller of the cooperative is refused.
-        // Guard: organisations are suspended one by one, below the root.
+        // Suspending the root would refuse every caller of the cooperative with one edit, so
+        // organisations can only be suspended below the root.
         if root.is_suspended {
-            return Err(TreeError::RootIsFixed("suspended"));
+            return Err(TreeError::RootImmutable("suspended"));
         }
         let missing = OverrideField::ALL.iter().find(|field| !root.sets(**field));
         match missing {
-            Some(field) => Err(TreeError::RootLacks(*field)),
+            Some(field) => Err(TreeError::RootFieldMissing(*field)),
             None => Ok(()),
         }
     }
@@ -65,7 +65,7 @@
         for (id, organisation) in &self.organisations {
             self.check_parent(id, organisation)?;
             check_numbers(id, organisation)?;
-            self.check_allowed(id, organisation)?;
+            self.check_pipelines_exist(id, organisation)?;
         }
         Ok(())
     }
@@ -82,7 +82,7 @@
         self.check_ancestors(id, parent)
     }
 
-    /// Walks up from a parent; ends because it meets the root, a cycle or the greatest depth.
+    /// Follows the ancestors of an organisation up to the root, a cycle or the maximum depth.
     fn check_ancestors(
         &self,
         id: &OrganisationId,
@@ -103,7 +103,11 @@
         Ok(())
     }
 
-    fn check_allowed(&self, id: &OrganisationId, own: &Organisation) -> Result<(), TreeError> {
+    fn check_pipelines_exist(
+        &self,
+        id: &OrganisationId,
+        own: &Organisation,
+    ) -> Result<(), TreeError> {
         let allowed = own.overrides.pipelines.iter().flatten();
         let mut unknown = allowed.filter(|pipeline| !self.pipelines.contains_key(*pipeline));
         match unknown.next() {
@@ -136,7 +140,7 @@
                 return Err(TreeError::DuplicateStage(id.clone(), stage.name.clone()));
             }
             if stage.is_streaming && index + 1 < count {
-                return Err(TreeError::StreamsTooEarly(id.clone(), stage.name.clone()));
+                return Err(TreeError::StreamingNotLast(id.clone(), stage.name.clone()));
             }
             self.check_stage(id, stage)?;
         }
@@ -152,11 +156,11 @@
             let pipeline = pipeline.clone();
             return Err(TreeError::StageWithoutService(pipeline, name, service_id));
         };
-        // Failure: a stage marked repeatable posts settlements, and a retry pays twice. Guard:
-        // the service's own word on its paths goes before the stage's.
+        // A stage marked as repeatable by mistake could post settlements, and a retry would pay
+        // twice. So what the service specifies for its paths overrides the stage.
         if stage.is_repeatable && !service.allows_repeat(&stage.path) {
             let (pipeline, path) = (pipeline.clone(), stage.path.clone());
-            return Err(TreeError::RepeatsAgainstService(
+            return Err(TreeError::RepeatableConflict(
                 pipeline, name, service_id, path,
             ));
         }
@@ -167,10 +171,10 @@
 fn check_numbers(id: &OrganisationId, organisation: &Organisation) -> Result<(), TreeError> {
     let overrides = &organisation.overrides;
     if let Some(limit) = overrides.limit_per_second {
-        let is_sensible = limit.get() > 0.0 && limit.get() <= MAX_LIMIT_PER_SECOND;
+        let is_in_range = limit.get() > 0.0 && limit.get() <= MAX_LIMIT_PER_SECOND;
         let accepted = format!("a number above 0 and at most {MAX_LIMIT_PER_SECOND}");
         let bad = || TreeError::bad_value(id, "limit_per_second", limit.get(), accepted);
-        is_sensible.then_some(()).ok_or_else(bad)?;
+        is_in_range.then_some(()).ok_or_else(bad)?;
     }
     if let Some(weight) = overrides.weight {
         check_range(id, "weight", weight.get().into(), 1..=MAX_WEIGHT.into())?;
@@ -211,7 +215,7 @@
 }
 
 fn check_path(owner: impl fmt::Display, path: &str) -> Result<(), TreeError> {
-    if is_plain(path) {
+    if is_unambiguous(path) {
         Ok(())
     } else {
         Err(TreeError::BadPath(owner.to_string(), path.to_owned()))
--- a/crates/core/src/version/tree_edit.rs
+++ b/crates/core/src/version/tree_edit.rs
@@ -8,7 +8,7 @@
 use crate::id::{OrganisationId, PipelineId, ServiceId, ZoneId};
 use crate::unit::Class;
 
-/// One change to the tree, as operators send it and the table keeps it.
+/// One change to the tree, as operators send it and the table stores it.
 ///
 /// # Examples
 ///
@@ -25,11 +25,11 @@
 pub enum TreeEdit {
     /// Adds an organisation.
     CreateOrganisation {
-        /// Name, not taken yet.
+        /// Name that no organisation has.
         id: OrganisationId,
         /// Organisation to inherit from.
         parent: OrganisationId,
-        /// Whether it pays; inherited if absent.
+        /// Paid or trial; inherited if absent.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         class: Option<Class>,
         /// Hash of its bearer key.
@@ -43,7 +43,7 @@
         /// New parent.
         parent: OrganisationId,
     },
-    /// Refuses the work of an organisation and its descendants.
+    /// Refuses all requests of an organisation and its descendants.
     Suspend {
         /// Organisation to suspend.
         id: OrganisationId,
@@ -59,10 +59,10 @@
         id: OrganisationId,
         /// Field to set.
         field: OverrideField,
-        /// Value as an operator writes it.
+        /// Value as text.
         value: String,
     },
-    /// Clears a field of an organisation, which then inherits it.
+    /// Clears a field of an organisation, so that it is inherited.
     Unset {
         /// Organisation to change.
         id: OrganisationId,
@@ -83,7 +83,7 @@
         /// Its stages.
         pipeline: Pipeline,
     },
-    /// Removes a pipeline that no organisation names.
+    /// Removes a pipeline that no organisation lists.
     RemovePipeline {
         /// Name of the pipeline.
         id: PipelineId,
@@ -92,7 +92,7 @@
     PutService {
         /// Name of the service.
         id: ServiceId,
-        /// Its calls.
+        /// Its settings.
         service: Service,
     },
     /// Removes a service that no pipeline uses.
@@ -100,17 +100,17 @@
         /// Name of the service.
         id: ServiceId,
     },
-    /// Lets the backend servers of an availability zone get nothing more.
+    /// Stops sending requests to the backend servers of an availability zone.
     EvacuateZone {
         /// The zone.
         zone: ZoneId,
     },
-    /// Takes an evacuated availability zone back.
+    /// Puts an evacuated availability zone back into use.
     TakeBackZone {
         /// The zone.
         zone: ZoneId,
     },
-    /// Replaces the whole tree; the version goes on from the present one.
+    /// Replaces the whole tree; the version continues from the current one.
     Import {
         /// New organisations, pipelines and services.
         tree: Box<SettingsTree>,
@@ -127,14 +127,14 @@
     ///
     /// # Panics
     ///
-    /// Only if the types of the tree hold something that JSON cannot carry, which is a bug.
+    /// Never: all types of an edit can be written as JSON.
     #[must_use]
     pub fn to_json(&self) -> String {
-        serde_json::to_string(self).expect("an edit holds only what JSON can carry")
+        serde_json::to_string(self).expect("an edit can be written as JSON")
     }
 
-    /// Changes a tree without checking the result as a whole.
-    pub(super) fn change(&self, tree: &mut SettingsTree) -> Result<(), TreeError> {
+    /// Applies the edit to a tree without validating the result as a whole.
+    pub(super) fn apply_to(&self, tree: &mut SettingsTree) -> Result<(), TreeError> {
         match self {
             Self::CreateOrganisation {
                 id,
--- a/crates/core/src/version/tree_error.rs
+++ b/crates/core/src/version/tree_error.rs
@@ -1,4 +1,4 @@
-//! Why an edit does not hold.
+//! Errors of invalid trees and edits.
 
 use std::fmt;
 
@@ -9,26 +9,26 @@
 use crate::result_code::ResultCode;
 
 quick_error! {
-    /// A tree or an edit that cannot hold.
+    /// Error for an invalid tree or edit.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum TreeError {
-        /// Not the JSON of a tree or an edit.
+        /// The text is not the JSON of a tree or an edit.
         Malformed(what: &'static str, cause: String) {
             display("the {what} cannot be read: {cause}")
         }
-        /// The edit names an organisation that is not there.
+        /// The edit refers to an organisation that does not exist.
         NoSuchOrganisation(id: OrganisationId) {
             display("organisation {id} is not in the tree: create it, or check its name with tree show")
         }
-        /// The edit names a pipeline that is not there.
+        /// The edit refers to a pipeline that does not exist.
         NoSuchPipeline(id: PipelineId) {
             display("pipeline {id} is not in the tree: check its name with tree show")
         }
-        /// The edit names a service that is not there.
+        /// The edit refers to a service that does not exist.
         NoSuchService(id: ServiceId) {
             display("service {id} is not in the tree: check its name with tree show")
         }
-        /// The name is taken.
+        /// An organisation with this name exists already.
         OrganisationExists(id: OrganisationId) {
             display("organisation {id} exists already: take another name, or set its fields")
         }
@@ -36,19 +36,19 @@
         NoRoot {
             display("the tree has no organisation named root: add it, without a parent")
         }
-        /// The root lacks a value that others inherit.
-        RootLacks(field: OverrideField) {
+        /// The root does not set a field that others inherit.
+        RootFieldMissing(field: OverrideField) {
             display("the root has no {field}, which all organisations inherit: set it at the root")
         }
-        /// The root cannot do this.
-        RootIsFixed(change: &'static str) {
+        /// The change is not allowed for the root.
+        RootImmutable(change: &'static str) {
             display("the root cannot be {change}: do it to an organisation below it")
         }
         /// An organisation other than the root has no parent.
         NoParent(id: OrganisationId) {
             display("organisation {id} has no parent: only root has none, so give one")
         }
-        /// The parent is not there.
+        /// The parent does not exist.
         UnknownParent(id: OrganisationId, parent: OrganisationId) {
             display("organisation {id} has the parent {parent}, which is not in the tree: create the parent first")
         }
@@ -56,63 +56,63 @@
         Cycle(id: OrganisationId, parent: OrganisationId) {
             display("organisation {id} under {parent} would be its own ancestor: choose a parent outside its descendants")
         }
-        /// Too many ancestors.
+        /// An organisation has too many ancestors.
         TooDeep(id: OrganisationId) {
             display("organisation {id} has more than {MAX_DEPTH} ancestors: move it closer to the root")
         }
-        /// Two organisations have one key.
+        /// Two organisations have the same key.
         SharedKey(first: OrganisationId, second: OrganisationId) {
             display("organisations {first} and {second} have the same key: give each its own")
         }
-        /// A pipeline's service is not there.
+        /// The service of a stage does not exist.
         StageWithoutService(pipeline: PipelineId, stage: StageName, service: ServiceId) {
             display("stage {stage} of pipeline {pipeline} uses the service {service}, which is not in the tree: put the service first")
         }
-        /// An organisation's pipeline is not there.
+        /// An organisation lists a pipeline that does not exist.
         UnknownPipeline(id: OrganisationId, pipeline: PipelineId) {
             display("organisation {id} may use the pipeline {pipeline}, which is not in the tree: put the pipeline first, or leave it out")
         }
-        /// No stages, or too many.
+        /// A pipeline has no stages or too many.
         StageCount(pipeline: PipelineId, count: usize) {
             display("pipeline {pipeline} has {count} stages: give 1 to {MAX_STAGES}")
         }
-        /// Two stages have one name.
+        /// Two stages of a pipeline have the same name.
         DuplicateStage(pipeline: PipelineId, stage: StageName) {
             display("pipeline {pipeline} has two stages named {stage}: name each differently")
         }
-        /// A stage that is not the last one streams.
-        StreamsTooEarly(pipeline: PipelineId, stage: StageName) {
+        /// A stage other than the last one streams.
+        StreamingNotLast(pipeline: PipelineId, stage: StageName) {
             display("stage {stage} of pipeline {pipeline} streams but is not the last: set is_streaming on the last stage only")
         }
-        /// A stage claims to be repeatable where its service says it is not.
-        RepeatsAgainstService(pipeline: PipelineId, stage: StageName, service: ServiceId, path: String) {
+        /// A stage is marked as repeatable, but its service does not allow its path to be repeated.
+        RepeatableConflict(pipeline: PipelineId, stage: StageName, service: ServiceId, path: String) {
             display("stage {stage} of pipeline {pipeline} is repeatable, but service {service} says that {path:?} is not: set is_repeatable to false")
         }
-        /// A path that can be read in more than one way, or none.
+        /// A path is invalid or has more than one interpretation.
         BadPath(owner: String, path: String) {
             display("{owner} has the path {path:?}: give one that starts with / and has no %, query, empty or dotted segments")
         }
-        /// A service lists a path as repeatable and as not repeatable.
+        /// A service lists a path both as repeatable and as not repeatable.
         PathInBothLists(service: ServiceId, path: String) {
             display("service {service} lists {path:?} as repeatable and as not repeatable: keep one")
         }
-        /// A value out of range or unreadable.
+        /// A value is out of range or cannot be parsed.
         BadValue(owner: String, field: String, value: String, accepted: String) {
             display("{owner}: {field} is {value:?}: give {accepted}")
         }
-        /// A pipeline that an organisation names cannot go.
+        /// A pipeline cannot be removed while an organisation lists it.
         PipelineInUse(pipeline: PipelineId, organisation: OrganisationId) {
             display("pipeline {pipeline} is named by organisation {organisation}: set that organisation's pipelines first")
         }
-        /// A service that a pipeline uses cannot go.
+        /// A service cannot be removed while a pipeline uses it.
         ServiceInUse(service: ServiceId, pipeline: PipelineId) {
             display("service {service} is used by pipeline {pipeline}: change or remove that pipeline first")
         }
-        /// A zone is in the wanted state already.
+        /// The zone is already in the requested state.
         ZoneUnchanged(zone: ZoneId, state: &'static str) {
             display("availability zone {zone} is {state} already: tree show lists the evacuated ones")
         }
-        /// No version follows the present one.
+        /// The version number cannot be increased.
         NoNextVersion(version: TreeVersion) {
             display("no version follows {version}: import the tree into an empty table")
         }
@@ -120,7 +120,7 @@
 }
 
 impl TreeError {
-    /// The numbered code for the operator.
+    /// The result code for the operator.
     #[must_use]
     pub const fn code(&self) -> ResultCode {
         match self {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// A value that cannot be taken, and what can.
+    /// Creates an error for a value that is not accepted.
     pub(super) fn bad_value(
         owner: impl fmt::Display,
         field: impl fmt::Display,
--- a/crates/core/src/version/tree_log.rs
+++ b/crates/core/src/version/tree_log.rs
@@ -1,4 +1,4 @@
-//! The tree that a process goes by, and the edits that led there.
+//! The tree in force in a process, and its latest edits.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,24 +7,24 @@
 use crate::id::TreeVersion;
 use crate::wire::TreeReply;
 
-/// Edits kept for processes that are behind; whoever is further behind gets the whole tree.
-const DEFAULT_KEPT_EDITS: usize = 256;
+/// Edits retained for processes that are behind; a process further behind gets the whole tree.
+const DEFAULT_MAX_EDITS: usize = 256;
 
-/// What taking a reply changed.
+/// Result of applying a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TreeUpdate {
-    /// The reply held nothing newer.
+    /// The reply contained nothing newer.
     Unchanged,
     /// A newer version is in force.
     Updated {
-        /// Version before.
+        /// Previous version.
         from: TreeVersion,
-        /// Version now.
+        /// Current version.
         to: TreeVersion,
     },
 }
 
-/// The tree in force in one process.
+/// The tree in force in a process, with its latest edits.
 ///
 /// # Examples
 ///
@@ -40,26 +40,26 @@
 #[derive(Debug, Clone)]
 pub struct TreeLog {
     current: Arc<CompiledTree>,
-    /// Edits without gaps, the last one leading to the current version.
+    /// Consecutive edits, the last of which created the current version.
     edits: VecDeque<EditRecord>,
-    kept_edits: usize,
+    max_edits: usize,
 }
 
 impl TreeLog {
-    /// Starts from a tree.
+    /// Creates a log that starts from a tree.
     pub fn new(tree: SettingsTree) -> Result<Self, TreeError> {
         Ok(Self {
             current: Arc::new(CompiledTree::new(tree)?),
             edits: VecDeque::new(),
-            kept_edits: DEFAULT_KEPT_EDITS,
+            max_edits: DEFAULT_MAX_EDITS,
         })
     }
 
-    /// Sets how many edits are kept for processes that are behind.
+    /// Sets how many edits are retained for processes that are behind.
     #[must_use]
-    pub fn keeping_edits(mut self, kept_edits: usize) -> Self {
-        self.kept_edits = kept_edits;
-        self.forget_oldest();
+    pub fn with_max_edits(mut self, max_edits: usize) -> Self {
+        self.max_edits = max_edits;
+        self.drop_oldest_edits();
         self
     }
 
@@ -69,40 +69,40 @@
         self.current.version()
     }
 
-    /// Tree in force; a request keeps the one it was admitted by.
+    /// Tree in force; a request keeps using the tree that it was admitted with.
     #[must_use]
     pub fn current(&self) -> &Arc<CompiledTree> {
         &self.current
     }
 
-    /// The kept edits after a version, oldest first.
+    /// The retained edits after a version, oldest first.
     pub fn edits_after(&self, version: TreeVersion) -> impl Iterator<Item = &EditRecord> {
         self.edits.iter().filter(move |edit| edit.version > version)
     }
 
-    /// Takes what is newer in a reply, wholly or not at all.
+    /// Applies what is newer in a reply, completely or not at all.
     pub fn apply_reply(&mut self, reply: TreeReply) -> Result<TreeUpdate, TreeLogError> {
         match reply {
             TreeReply::UpToDate(_) => Ok(TreeUpdate::Unchanged),
-            TreeReply::Edits { edits, .. } => self.take_edits(&edits),
-            TreeReply::Whole { version, tree } => self.take_whole(version, &tree),
+            TreeReply::Edits { edits, .. } => self.apply_edits(&edits),
+            TreeReply::Whole { version, tree } => self.apply_tree(version, &tree),
         }
     }
 
-    /// Takes one edit that this process read from or wrote to the table.
+    /// Applies one edit that this process read from or wrote to the table.
     pub fn apply_record(&mut self, record: EditRecord) -> Result<TreeUpdate, TreeLogError> {
-        self.take_records(vec![record])
+        self.apply_records(vec![record])
     }
 
-    /// Answers a process that has a version.
+    /// The reply to a process that has the given version.
     #[must_use]
     pub fn changes_since(&self, version: TreeVersion) -> TreeReply {
         if version >= self.version() {
             return TreeReply::UpToDate(self.version());
         }
         let oldest = self.edits.front().map(|edit| edit.version);
-        let is_kept = oldest.is_some_and(|oldest| oldest <= version.next());
-        if is_kept {
+        let has_next_edit = oldest.is_some_and(|oldest| oldest <= version.next());
+        if has_next_edit {
             let edits = self.edits_after(version).map(EditRecord::to_json).collect();
             let after = version;
             return TreeReply::Edits { after, edits };
@@ -113,62 +113,63 @@
         }
     }
 
-    fn take_edits(&mut self, edits: &[String]) -> Result<TreeUpdate, TreeLogError> {
+    fn apply_edits(&mut self, edits: &[String]) -> Result<TreeUpdate, TreeLogError> {
         let read = |text: &String| {
             let record = EditRecord::from_json(text);
             record.map_err(|cause| TreeLogError::Invalid(self.version(), cause))
         };
         let records: Result<Vec<_>, _> = edits.iter().map(read).collect();
-        self.take_records(records?)
+        self.apply_records(records?)
     }
 
-    /// Takes records in order. The last version is checked as a whole; those before it were
-    /// checked when they were accepted, and a check of each would hold up a process for long.
-    fn take_records(&mut self, records: Vec<EditRecord>) -> Result<TreeUpdate, TreeLogError> {
-        let newer = self.newer(records)?;
-        if newer.is_empty() {
+    /// Applies records in order. Only the last version is validated as a whole: each earlier one
+    /// was validated when it was accepted, and validating all of them would block the process too
+    /// long.
+    fn apply_records(&mut self, records: Vec<EditRecord>) -> Result<TreeUpdate, TreeLogError> {
+        let newer_records = self.newer_records(records)?;
+        if newer_records.is_empty() {
             return Ok(TreeUpdate::Unchanged);
         }
         let mut tree = self.current.tree().clone();
-        for record in &newer {
-            let advanced = tree.advance(&record.edit);
+        for record in &newer_records {
+            let advanced = tree.apply_unchecked(&record.edit);
             advanced.map_err(|cause| TreeLogError::Invalid(record.version, cause))?;
         }
-        let taken = self.put_in_force(tree)?;
-        self.edits.extend(newer);
-        self.forget_oldest();
-        Ok(taken)
+        let update = self.put_in_force(tree)?;
+        self.edits.extend(newer_records);
+        self.drop_oldest_edits();
+        Ok(update)
     }
 
-    /// The records after the version in force, without gaps.
-    fn newer(&self, records: Vec<EditRecord>) -> Result<Vec<EditRecord>, TreeLogError> {
+    /// Selects the records after the version in force; fails if one is missing.
+    fn newer_records(&self, records: Vec<EditRecord>) -> Result<Vec<EditRecord>, TreeLogError> {
         let mut last = self.version();
-        let mut newer = Vec::new();
+        let mut newer_records = Vec::new();
         for record in records {
-            // Failure: a peer that was paused for an hour, or a doubled reply, brings edits that
-            // are in force here long since, and taking them again would undo later ones. Guard:
-            // only the edit right after the present version is applied; an older one is compared
-            // and dropped.
+            // A peer that was paused for an hour, or a duplicate reply, may deliver edits that are
+            // already in force here, and applying them again would undo later ones. So only the
+            // edit that follows the current version is applied; an older one is compared with the
+            // retained one and dropped.
             if record.version <= last {
-                self.check_same(&record)?;
+                self.check_not_diverged(&record)?;
                 continue;
             }
-            // Failure: a lost edit before this one would leave a suspended organisation running
-            // here for good, as no later edit repeats it. Guard: nothing is taken across a gap,
-            // and the version stays low, so that the process asks again for all that it lacks.
+            // If an edit before this one was lost, for example a suspension, no later edit would
+            // repeat it. So nothing is applied across a gap; the version stays as it is, and the
+            // process requests all missing edits again.
             if record.version != last.next() {
                 return Err(TreeLogError::Gap(last, record.version));
             }
             last = record.version;
-            newer.push(record);
+            newer_records.push(record);
         }
-        Ok(newer)
+        Ok(newer_records)
     }
 
-    fn take_whole(&mut self, version: TreeVersion, tree: &str) -> Result<TreeUpdate, TreeLogError> {
-        // Failure: a peer that just woke, or a snapshot row that lags the head, offers a tree
-        // older than the one in force, and an accepted edit would be undone. Guard: a tree is
-        // taken only if its version is higher, whoever sends it.
+    fn apply_tree(&mut self, version: TreeVersion, tree: &str) -> Result<TreeUpdate, TreeLogError> {
+        // A peer that was paused, or a snapshot row that lags behind the head, may deliver a tree
+        // older than the one in force, which would undo accepted edits. So a tree is applied only
+        // if its version is higher, regardless of the sender.
         if version <= self.version() {
             return Ok(TreeUpdate::Unchanged);
         }
@@ -177,9 +178,9 @@
         if tree.version != version {
             return Err(TreeLogError::VersionMismatch(version, tree.version));
         }
-        let taken = self.put_in_force(tree)?;
+        let update = self.put_in_force(tree)?;
         self.edits.clear();
-        Ok(taken)
+        Ok(update)
     }
 
     fn put_in_force(&mut self, tree: SettingsTree) -> Result<TreeUpdate, TreeLogError> {
@@ -191,10 +192,11 @@
         Ok(TreeUpdate::Updated { from, to })
     }
 
-    /// Two edits under one version mean that the table or a peer broke its word.
-    fn check_same(&self, theirs: &EditRecord) -> Result<(), TreeLogError> {
-        let mut kept = self.edits.iter();
-        let ours = kept.find(|ours| ours.version == theirs.version);
+    /// Checks that an edit equals the retained one of its version; otherwise the table or a peer is
+    /// faulty.
+    fn check_not_diverged(&self, theirs: &EditRecord) -> Result<(), TreeLogError> {
+        let mut retained = self.edits.iter();
+        let ours = retained.find(|ours| ours.version == theirs.version);
         match ours {
             Some(ours) if ours.write_id != theirs.write_id => Err(TreeLogError::Diverged(
                 theirs.version,
@@ -205,8 +207,8 @@
         }
     }
 
-    fn forget_oldest(&mut self) {
-        let surplus = self.edits.len().saturating_sub(self.kept_edits);
+    fn drop_oldest_edits(&mut self) {
+        let surplus = self.edits.len().saturating_sub(self.max_edits);
         self.edits.drain(..surplus);
     }
 }
--- a/crates/core/tests/tree_log.rs
+++ b/crates/core/tests/tree_log.rs
@@ -66,7 +66,7 @@
 
 #[test]
 fn whoever_is_far_behind_gets_the_whole_tree() {
-    let ahead = log_at(9).keeping_edits(3);
+    let ahead = log_at(9).with_max_edits(3);
     let mut behind = log_at(2);
 
     let reply = ahead.changes_since(behind.version());
@@ -86,7 +86,7 @@
 #[test]
 fn an_older_tree_or_edit_is_never_taken() {
     let mut log = log_at(6);
-    let paused = log_at(3).keeping_edits(0);
+    let paused = log_at(3).with_max_edits(0);
     let old_tree = paused.changes_since(TreeVersion::default());
     let old_edits = edits([weight_edit(2), weight_edit(3)]);
 
--- a/crates/core/tests/tree_random.rs
+++ b/crates/core/tests/tree_random.rs
@@ -107,7 +107,7 @@
             let ahead = &logs[usize::from(ahead) % logs.len()];
             let since = TreeVersion::new(u64::from(since) % 8);
             let kept = if is_whole { 0 } else { 256 };
-            let reply = ahead.clone().keeping_edits(kept).changes_since(since);
+            let reply = ahead.clone().with_max_edits(kept).changes_since(since);
             let _ = log.apply_reply(reply);
             assert!(log.version() >= before);
             let step = usize::try_from(log.version().get()).unwrap();
