--- a/crates/amaranthscale/src/bin/amaranth-sidecar.rs
+++ b/crates/amaranthscale/src/bin/amaranth-sidecar.rs
@@ -44,7 +44,7 @@
     print_listen_address(sidecar.sidecar().address())?;
     tokio::select! {
         () = stop.next() => {}
-        () = sidecar.failed() => return Err("the gate has ended".into()),
+        () = sidecar.failed() => return Err("the scheduler has stopped".into()),
     }
     let is_drained = tokio::select! {
         is_drained = sidecar.stop() => is_drained,
--- a/crates/amaranthscale/src/sidecar.rs
+++ b/crates/amaranthscale/src/sidecar.rs
@@ -1,29 +1,29 @@
-//! The process beside each backend server, and the only door to it.
+//! The sidecar daemon: the proxy through which all requests reach one backend server.
 //!
-//! An entry sends an attempt and reads its answer as a run of frames. The attempt waits in a fair
-//! queue, starts at most once by the attempt ledger, and, if its call may not be repeated, claims
-//! its row of the platform's table just before the call. The answer is kept until nobody can want
-//! it, so that an entry whose connection broke or went silent reads on from a new one.
+//! An entry sends an attempt and reads its answer as a sequence of frames. The attempt waits in a
+//! fair queue, is started at most once by the attempt ledger, and, if its call may not be repeated,
+//! claims its row of the platform's table just before the call. The answer is retained until it can
+//! no longer be fetched, so that an entry whose connection was lost continues reading on a new one.
 //!
-//! An attempt outlives the connection that brought it. Repeatable work ends at its deadline or
-//! when it is revoked; a call that may not be repeated is never cut off, and its outcome stays in
-//! memory until the table has it.
+//! An attempt outlives the connection that carried it. Repeatable work is cancelled at its deadline
+//! or when it is revoked; a call that may not be repeated is never cancelled, and its outcome stays
+//! in memory until it is stored in the table.
 //!
-//! A sidecar that leaves refuses new attempts at once. What it has admitted may start for a short
-//! grace, the rest of the queue is handed back as not run, and what runs is let end.
+//! A leaving sidecar refuses new attempts at once. Queued attempts may start for a short grace
+//! period, after which the rest is refused as not run; running attempts are allowed to end.
 
 mod answer;
 mod answer_body;
 mod backend_client;
-mod board;
 mod call_error;
-mod claims;
+mod claim_writer;
 mod cost_writer;
-mod gate;
 mod job;
 mod orders;
 mod routes;
 mod runner;
+mod scheduler;
+mod shared_state;
 mod sidecar_config;
 mod sidecar_error;
 mod sidecar_limits;
@@ -43,15 +43,15 @@
 use tokio::time::{Instant, MissedTickBehavior};
 
 use backend_client::BackendClient;
-use board::Board;
-use claims::Claims;
+use claim_writer::ClaimWriter;
 use cost_writer::CostWriter;
-use gate::{Gate, GateMessage};
 #[doc(inline)]
 pub use orders::OrderSettings;
-use orders::{EngineBoard, OrderLoop};
+use orders::{OrderLoop, SharedEngineStatus};
 use routes::{Routes, begin_leaving};
 use runner::Runner;
+use scheduler::{Scheduler, SchedulerMessage};
+use shared_state::SharedState;
 #[doc(inline)]
 pub use sidecar_config::SidecarConfig;
 #[doc(inline)]
@@ -66,32 +66,32 @@
 use crate::connection::{HttpServer, HttpServerLimits};
 use crate::process::{ControlKind, ControlTraffic, Counters, PlatformClient};
 
-/// Time between two ticks. Attempts that expire in the queue are told so within it.
-const TICK: Duration = Duration::from_millis(100);
+/// Time between two ticks; attempts that expire in the queue are refused within it.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Longest wait for entries to read what was ended; a live one takes milliseconds.
-const SEND_BOUND: Duration = Duration::from_secs(10);
+/// Longest wait for entries to read ended answers; a live entry needs milliseconds.
+const FINAL_SEND_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A running sidecar.
 #[derive(Debug)]
 pub struct Sidecar {
     server: HttpServer,
-    gate: ActorRef<GateMessage>,
-    gate_task: JoinHandle<()>,
+    scheduler: ActorRef<SchedulerMessage>,
+    scheduler_task: JoinHandle<()>,
     runner: Arc<Runner>,
     costs: Arc<CostWriter>,
-    chores: Vec<JoinHandle<()>>,
+    background_tasks: Vec<JoinHandle<()>>,
 }
 
 impl Sidecar {
-    /// Starts a new life of a sidecar and listens.
+    /// Starts a new incarnation of a sidecar and listens.
     pub async fn start(config: SidecarConfig, tree: TreeSource) -> Result<Self, SidecarError> {
         let counters = counters(&config)?;
-        Self::start_counting(config, tree, counters).await
+        Self::start_with_counters(config, tree, counters).await
     }
 
-    /// Starts a new life that counts together with other parts of its process.
-    pub(crate) async fn start_counting(
+    /// Starts a new incarnation that shares the counters of its process.
+    pub(crate) async fn start_with_counters(
         config: SidecarConfig,
         tree: TreeSource,
         counters: Arc<Counters>,
@@ -99,41 +99,43 @@
         let listen = config.listen;
         let cost_platform = platform(&config, &counters).with_kind(ControlKind::CostWrite);
         let runner = Arc::new(runner(&config, tree, counters));
-        let (gate, gate_task) = Actor::spawn(None, Gate, Arc::clone(&runner)).await?;
+        let (scheduler, scheduler_task) =
+            Actor::spawn(None, Scheduler, Arc::clone(&runner)).await?;
         let routes = Arc::new(Routes {
-            gate: gate.clone(),
+            scheduler: scheduler.clone(),
             runner: Arc::clone(&runner),
         });
         let answer = move |request| Arc::clone(&routes).answer(request);
         let server = HttpServer::start(listen, HttpServerLimits::default(), answer).await;
         let server = server.map_err(|cause| SidecarError::Listen(listen, cause))?;
-        let costs = Arc::new(CostWriter::new(gate.clone(), cost_platform));
-        let mut chores = vec![
-            tokio::spawn(tick(gate.clone())),
-            tokio::spawn(Arc::clone(&costs).run(config.limits.cost_interval)),
+        let costs = Arc::new(CostWriter::new(scheduler.clone(), cost_platform));
+        let mut background_tasks = vec![
+            tokio::spawn(send_ticks(scheduler.clone())),
+            tokio::spawn(Arc::clone(&costs).run(config.limits.cost_write_interval)),
         ];
-        chores.extend(order_loop(&config, &runner).map(|orders| tokio::spawn(orders.run())));
-        info!("sidecar: {} listens at {}", config.host, server.address());
+        background_tasks
+            .extend(order_loop(&config, &runner).map(|orders| tokio::spawn(orders.run())));
+        info!("sidecar: {} listening on {}", config.host, server.address());
         Ok(Self {
             server,
-            gate,
-            gate_task,
+            scheduler,
+            scheduler_task,
             runner,
             costs,
-            chores,
+            background_tasks,
         })
     }
 
-    /// The address that the sidecar listens at.
+    /// Address that the sidecar listens on.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// The present life.
+    /// Incarnation of this sidecar.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
-        self.runner.board.incarnation
+        self.runner.shared.incarnation
     }
 
     /// Counters of refusals, retries and drops.
@@ -144,44 +146,44 @@
 
     /// Refuses new attempts from now on.
     pub fn leave(&self) {
-        begin_leaving(&self.runner, &self.gate);
+        begin_leaving(&self.runner, &self.scheduler);
     }
 
-    /// Completes when the sidecar can serve no more because of a fault of its own.
+    /// Completes when the sidecar's actor has stopped, after which it can serve no requests.
     pub async fn failed(&mut self) {
-        let _ = (&mut self.gate_task).await;
+        let _ = (&mut self.scheduler_task).await;
     }
 
-    /// Leaves, lets what runs end, and says whether all did within the bound.
+    /// Leaves, waits for running attempts and returns whether all ended within the timeout.
     pub async fn stop(self) -> bool {
         self.leave();
-        let deadline = Instant::now() + self.runner.limits.drain_bound;
+        let deadline = Instant::now() + self.runner.limits.drain_timeout;
         let is_drained = tokio::time::timeout_at(deadline, self.drain())
             .await
             .is_ok();
         if !is_drained {
             self.runner.counters.count("drain.bound_passed");
-            warn!("sidecar: stops with work left");
+            warn!("sidecar: drain timed out, stopping with unfinished work");
         }
-        // Answers that were just ended are still on their way to their entries. One connection that
-        // has gone silent would otherwise hold the stop up to its bound.
+        // Answers that have just ended are still being sent to their entries. Without this limit
+        // one dead connection would delay the stop until the drain timeout.
         let left = deadline.saturating_duration_since(Instant::now());
-        let is_sent = self.server.stop(left.min(SEND_BOUND)).await;
-        for chore in &self.chores {
-            chore.abort();
+        let is_sent = self.server.stop(left.min(FINAL_SEND_TIMEOUT)).await;
+        for task in &self.background_tasks {
+            task.abort();
         }
-        self.gate.stop(None);
+        self.scheduler.stop(None);
         is_drained && is_sent
     }
 
     async fn drain(&self) {
-        let _ = call!(self.gate, GateMessage::Drained);
+        let _ = call!(self.scheduler, SchedulerMessage::WaitDrained);
         // Each claimed attempt holds a permit until its row is settled.
-        let table_jobs = &self.runner.table_jobs;
-        let _ = table_jobs
-            .acquire_many(self.runner.limits.max_table_jobs)
+        let claim_permits = &self.runner.claim_permits;
+        let _ = claim_permits
+            .acquire_many(self.runner.limits.max_unsettled_claims)
             .await;
-        self.costs.write().await;
+        self.costs.write_final().await;
     }
 }
 
@@ -194,36 +196,36 @@
 
 fn runner(config: &SidecarConfig, tree: TreeSource, counters: Arc<Counters>) -> Runner {
     let incarnation = Incarnation::new(rand::random());
-    let claims = Claims::new(
+    let claim_writer = ClaimWriter::new(
         config.host.clone(),
         incarnation,
         platform(config, &counters).with_kind(ControlKind::Claim),
         Arc::clone(&counters),
     );
     let slots = usize::try_from(config.limits.queue.slots).unwrap_or(usize::MAX);
-    let table_jobs = usize::try_from(config.limits.max_table_jobs).unwrap_or(usize::MAX);
+    let claim_permits = usize::try_from(config.limits.max_unsettled_claims).unwrap_or(usize::MAX);
     Runner {
         service: config.service.clone(),
         limits: config.limits,
-        board: Arc::new(Board::new(config.host.clone(), incarnation, tree)),
+        shared: Arc::new(SharedState::new(config.host.clone(), incarnation, tree)),
         backend: Arc::new(BackendClient::new(config.backend, slots)),
-        claims: Arc::new(claims),
+        claim_writer: Arc::new(claim_writer),
         counters,
-        table_jobs: Arc::new(Semaphore::new(table_jobs.min(Semaphore::MAX_PERMITS))),
-        engine: config.orders.map(EngineBoard::new).map(Arc::new),
+        claim_permits: Arc::new(Semaphore::new(claim_permits.min(Semaphore::MAX_PERMITS))),
+        engine: config.orders.map(SharedEngineStatus::new).map(Arc::new),
     }
 }
 
 fn order_loop(config: &SidecarConfig, runner: &Runner) -> Option<OrderLoop> {
     let settings = config.orders?;
     let engine = Arc::clone(runner.engine.as_ref()?);
-    let (board, counters) = (Arc::clone(&runner.board), Arc::clone(&runner.counters));
+    let (shared, counters) = (Arc::clone(&runner.shared), Arc::clone(&runner.counters));
     let platform = platform(config, &counters).with_kind(ControlKind::Placement);
     Some(OrderLoop::new(
         settings,
         config.backend,
         platform,
-        board,
+        shared,
         engine,
         counters,
     ))
@@ -234,12 +236,12 @@
         .with_traffic(ControlTraffic::new(Arc::clone(counters)))
 }
 
-async fn tick(gate: ActorRef<GateMessage>) {
-    let mut ticks = tokio::time::interval(TICK);
+async fn send_ticks(scheduler: ActorRef<SchedulerMessage>) {
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        if gate.cast(GateMessage::Tick).is_err() {
+        if scheduler.cast(SchedulerMessage::Tick).is_err() {
             return;
         }
     }
--- a/crates/amaranthscale/src/sidecar/answer.rs
+++ b/crates/amaranthscale/src/sidecar/answer.rs
@@ -1,4 +1,4 @@
-//! The answer to one attempt, kept while it grows and until it is no longer needed.
+//! The answer to one attempt, buffered so that several readers can follow it.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::task::Waker;
@@ -9,13 +9,13 @@
 
 use crate::connection::encode_frame;
 
-/// Numbers the readers of one answer.
-pub(super) type ReaderNumber = u64;
+/// Identifies a reader of one answer.
+pub(super) type ReaderId = u64;
 
 /// A growing answer that any number of readers follow.
 ///
-/// The backend server's result goes in once; a reader on a new connection starts at the chunk
-/// that it misses.
+/// The backend server's result is appended once; a reader on a new connection starts at the first
+/// chunk that it has not received.
 #[derive(Debug)]
 pub(super) struct Answer {
     attempt: AttemptId,
@@ -25,27 +25,27 @@
 
 #[derive(Debug, Default)]
 struct Content {
-    /// Encoded frames, each shared with the readers that send it.
+    /// Encoded frames, shared with the readers.
     chunks: Vec<Bytes>,
-    kept_bytes: usize,
+    result_bytes: usize,
     outcome: Option<Outcome>,
-    is_forgotten: bool,
-    readers: ReaderNumber,
-    waiting: Vec<(ReaderNumber, Waker)>,
+    is_evicted: bool,
+    last_reader_id: ReaderId,
+    wakers: Vec<(ReaderId, Waker)>,
 }
 
-/// What a reader finds at its position.
+/// Content of an answer at a reader's position.
 #[derive(Debug)]
-pub(super) enum Piece {
+pub(super) enum AnswerPart {
     /// An encoded chunk.
     Chunk(Bytes),
-    /// The end, after this many chunks.
+    /// The end, after this number of chunks.
     End(u64, Box<Outcome>),
-    /// Nothing: the answer was dropped before this reader had read it.
-    Gone,
+    /// The answer was evicted before this reader had read it.
+    Evicted,
 }
 
-/// An answer that has grown beyond its bound.
+/// Error of an answer that exceeds its size limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct AnswerTooLarge;
 
@@ -62,10 +62,10 @@
         self.attempt
     }
 
-    /// Appends a piece of the result.
+    /// Appends a chunk of the result.
     pub(super) fn push(&self, data: &Bytes) -> Result<(), AnswerTooLarge> {
         let mut content = self.lock();
-        if content.kept_bytes + data.len() > self.max_bytes {
+        if content.result_bytes + data.len() > self.max_bytes {
             return Err(AnswerTooLarge);
         }
         let sequence = u64::try_from(content.chunks.len()).unwrap_or(u64::MAX);
@@ -74,13 +74,13 @@
             sequence,
             data: data.to_vec(),
         }));
-        content.kept_bytes += data.len();
+        content.result_bytes += data.len();
         content.chunks.push(frame);
         wake(content);
         Ok(())
     }
 
-    /// Ends the answer; a second end changes nothing.
+    /// Ends the answer; a second call has no effect.
     pub(super) fn end(&self, outcome: Outcome) {
         let mut content = self.lock();
         if content.outcome.is_none() {
@@ -89,48 +89,53 @@
         wake(content);
     }
 
-    /// Drops the result under its readers.
+    /// Discards the result, even while it is being read.
     ///
-    /// Guards against an entry's connection that goes silent: its reader is never dropped, and
-    /// would keep the whole result in memory for as long as the connection seems open.
-    pub(super) fn forget(&self) {
+    /// The reader of a dead connection is not dropped as long as the connection seems open, and
+    /// would otherwise hold the whole result in memory.
+    pub(super) fn evict(&self) {
         let mut content = self.lock();
         content.chunks = Vec::new();
-        content.kept_bytes = 0;
-        content.is_forgotten = true;
+        content.result_bytes = 0;
+        content.is_evicted = true;
         wake(content);
     }
 
-    /// Bytes of the result so far.
-    pub(super) fn kept_bytes(&self) -> usize {
-        self.lock().kept_bytes
+    /// Size of the result so far.
+    pub(super) fn result_bytes(&self) -> usize {
+        self.lock().result_bytes
     }
 
-    pub(super) fn add_reader(&self) -> ReaderNumber {
+    pub(super) fn add_reader(&self) -> ReaderId {
         let mut content = self.lock();
-        content.readers += 1;
-        content.readers
+        content.last_reader_id += 1;
+        content.last_reader_id
     }
 
-    pub(super) fn remove_reader(&self, reader: ReaderNumber) {
-        self.lock().waiting.retain(|(number, _)| *number != reader);
+    pub(super) fn remove_reader(&self, reader: ReaderId) {
+        self.lock().wakers.retain(|(id, _)| *id != reader);
     }
 
-    /// The piece at a position, or a call of the waker when there is one.
-    pub(super) fn piece(&self, at: usize, reader: ReaderNumber, waker: &Waker) -> Option<Piece> {
+    /// The content at a position; `None` registers the waker, which is called when there is more.
+    pub(super) fn poll_part(
+        &self,
+        at: usize,
+        reader: ReaderId,
+        waker: &Waker,
+    ) -> Option<AnswerPart> {
         let mut content = self.lock();
-        if content.is_forgotten {
-            return Some(Piece::Gone);
+        if content.is_evicted {
+            return Some(AnswerPart::Evicted);
         }
         if let Some(chunk) = content.chunks.get(at) {
-            return Some(Piece::Chunk(chunk.clone()));
+            return Some(AnswerPart::Chunk(chunk.clone()));
         }
         if let Some(outcome) = &content.outcome {
             let chunks = u64::try_from(content.chunks.len()).unwrap_or(u64::MAX);
-            return Some(Piece::End(chunks, Box::new(outcome.clone())));
+            return Some(AnswerPart::End(chunks, Box::new(outcome.clone())));
         }
-        content.waiting.retain(|(number, _)| *number != reader);
-        content.waiting.push((reader, waker.clone()));
+        content.wakers.retain(|(id, _)| *id != reader);
+        content.wakers.push((reader, waker.clone()));
         None
     }
 
@@ -139,11 +144,11 @@
     }
 }
 
-/// Wakes outside the lock, since a woken reader takes it at once.
+/// Wakes the readers after releasing the lock, because a woken reader acquires it at once.
 fn wake(mut content: MutexGuard<'_, Content>) {
-    let waiting = std::mem::take(&mut content.waiting);
+    let wakers = std::mem::take(&mut content.wakers);
     drop(content);
-    for (_reader, waker) in waiting {
+    for (_reader, waker) in wakers {
         waker.wake();
     }
 }
--- a/crates/amaranthscale/src/sidecar/answer_body.rs
+++ b/crates/amaranthscale/src/sidecar/answer_body.rs
@@ -12,41 +12,41 @@
 use hyper::body;
 use tokio::time::Sleep;
 
-use super::answer::{Answer, Piece, ReaderNumber};
-use super::board::Board;
+use super::answer::{Answer, AnswerPart, ReaderId};
+use super::shared_state::SharedState;
 use crate::connection::encode_frame;
 
 /// A response body that follows an answer to its end.
 ///
-/// Dropping it, as when the connection breaks, leaves the attempt alone: the entry fetches the
-/// rest on a new connection.
+/// Dropping it, for instance when the connection is lost, does not affect the attempt: the entry
+/// fetches the rest on a new connection.
 #[derive(Debug)]
 pub(super) struct AnswerBody {
     answer: Arc<Answer>,
-    board: Arc<Board>,
-    reader: ReaderNumber,
-    next: usize,
-    patience: Option<Pin<Box<Sleep>>>,
+    shared: Arc<SharedState>,
+    reader: ReaderId,
+    next_chunk: usize,
+    timeout: Option<Pin<Box<Sleep>>>,
     is_done: bool,
 }
 
 impl AnswerBody {
-    /// Follows an answer from a chunk on.
-    pub(super) fn new(answer: Arc<Answer>, board: Arc<Board>, from_chunk: u64) -> Self {
+    /// Follows an answer, starting at a chunk.
+    pub(super) fn new(answer: Arc<Answer>, shared: Arc<SharedState>, from_chunk: u64) -> Self {
         let reader = answer.add_reader();
         Self {
             answer,
-            board,
+            shared,
             reader,
-            next: usize::try_from(from_chunk).unwrap_or(usize::MAX),
-            patience: None,
+            next_chunk: usize::try_from(from_chunk).unwrap_or(usize::MAX),
+            timeout: None,
             is_done: false,
         }
     }
 
-    /// Ends with [`ResultCode::StillRunning`] if the answer takes longer than this.
-    pub(super) fn within(mut self, patience: Duration) -> Self {
-        self.patience = Some(Box::pin(tokio::time::sleep(patience)));
+    /// Sets a timeout after which the body ends with [`ResultCode::StillRunning`].
+    pub(super) fn with_timeout(mut self, timeout: Duration) -> Self {
+        self.timeout = Some(Box::pin(tokio::time::sleep(timeout)));
         self
     }
 
@@ -56,7 +56,7 @@
             attempt: self.answer.attempt(),
             chunks,
             outcome,
-            stamp: self.board.stamp(),
+            stamp: self.shared.stamp(),
         }))
     }
 
@@ -64,27 +64,30 @@
         if self.is_done {
             return Poll::Ready(None);
         }
-        match self.answer.piece(self.next, self.reader, context.waker()) {
-            Some(Piece::Chunk(frame)) => {
-                self.next += 1;
+        match self
+            .answer
+            .poll_part(self.next_chunk, self.reader, context.waker())
+        {
+            Some(AnswerPart::Chunk(frame)) => {
+                self.next_chunk += 1;
                 return Poll::Ready(Some(frame));
             }
-            Some(Piece::End(chunks, outcome)) => {
+            Some(AnswerPart::End(chunks, outcome)) => {
                 return Poll::Ready(Some(self.end(chunks, *outcome)));
             }
-            Some(Piece::Gone) => {
+            Some(AnswerPart::Evicted) => {
                 self.is_done = true;
                 return Poll::Ready(None);
             }
             None => {}
         }
-        let Some(patience) = &mut self.patience else {
+        let Some(timeout) = &mut self.timeout else {
             return Poll::Pending;
         };
-        if patience.as_mut().poll(context).is_pending() {
+        if timeout.as_mut().poll(context).is_pending() {
             return Poll::Pending;
         }
-        let chunks = u64::try_from(self.next).unwrap_or(u64::MAX);
+        let chunks = u64::try_from(self.next_chunk).unwrap_or(u64::MAX);
         let outcome = Outcome::without_result(ResultCode::StillRunning);
         Poll::Ready(Some(self.end(chunks, outcome)))
     }
--- a/crates/amaranthscale/src/sidecar/backend_client.rs
+++ b/crates/amaranthscale/src/sidecar/backend_client.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 to the one backend server.
+//! HTTP/1.1 client of the backend server.
 //!
-//! Connections are taken by hand rather than from a pool of the HTTP library, so that the caller
-//! knows whether a request was sent at all.
+//! Connections are managed here instead of by the HTTP library's pool, which does not report
+//! whether a request was sent at all.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
@@ -24,29 +24,29 @@
 use super::call_error::CallError;
 use super::job::Job;
 
-/// Longest wait for a connection to a server on the same host.
+/// Connect timeout; the backend server is on the same host.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest wait for an answer to a cancellation, which nobody relies on.
+/// Timeout for a cancellation, whose answer is only logged.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest idle time of a connection that is used again; servers close theirs after longer.
-const MAX_IDLE: Duration = Duration::from_secs(4);
+/// Longest idle time of a connection that is reused; backend servers close idle ones later.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(4);
 
-/// Priority of paid work at an engine; higher goes first.
+/// Priority of paid work at an engine; higher runs first.
 const PAID_PRIORITY: u16 = 1;
 /// Priority of trial work at an engine.
 const TRIAL_PRIORITY: u16 = 0;
 
 pub(super) type Sender = SendRequest<Full<Bytes>>;
 
-/// HTTP/1.1 to the one backend server.
+/// HTTP/1.1 client of the backend server.
 #[derive(Debug)]
 pub(super) struct BackendClient {
     address: SocketAddr,
-    max_idle: usize,
+    max_idle_connections: usize,
     idle: Mutex<Vec<(Sender, Instant)>>,
 }
 
-/// A response whose body is still to be read, and its connection.
+/// A response whose body is not yet read, and its connection.
 #[derive(Debug)]
 pub(super) struct BackendReply {
     pub(super) response: Response<Incoming>,
@@ -54,10 +54,10 @@
 }
 
 impl BackendClient {
-    pub(super) const fn new(address: SocketAddr, max_idle: usize) -> Self {
+    pub(super) const fn new(address: SocketAddr, max_idle_connections: usize) -> Self {
         Self {
             address,
-            max_idle,
+            max_idle_connections,
             idle: Mutex::new(Vec::new()),
         }
     }
@@ -70,19 +70,19 @@
         {
             return self.send_reused(sender, request).await;
         }
-        // A call that may not be repeated takes a fresh connection: a kept one that the server is
-        // just closing would leave open whether the call was seen.
+        // A call that may not be repeated uses a new connection: on an idle one that the server is
+        // closing it would be unknown whether the server received the call.
         let sender = self.connect().await?;
         send(sender, request).await.map_err(|(error, _)| error)
     }
 
-    /// Keeps a connection whose response was read to its end.
-    pub(super) async fn give_back(&self, mut sender: Sender) {
+    /// Returns a connection to the idle ones after its response was read to the end.
+    pub(super) async fn return_idle(&self, mut sender: Sender) {
         if sender.ready().await.is_err() {
             return;
         }
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        if idle.len() < self.max_idle {
+        if idle.len() < self.max_idle_connections {
             idle.push((sender, Instant::now()));
         }
     }
@@ -127,7 +127,7 @@
         request: Request<Full<Bytes>>,
     ) -> Result<BackendReply, CallError> {
         match send(sender, request).await {
-            // The server closed the kept connection before the request left; nothing was seen.
+            // The server closed the idle connection before the request was sent.
             Err((CallError::NotSent(_), Some(request))) => {
                 let sender = self.connect().await?;
                 send(sender, *request).await.map_err(|(error, _)| error)
@@ -140,7 +140,7 @@
     fn take_idle(&self) -> Option<Sender> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         while let Some((sender, since)) = idle.pop() {
-            if sender.is_ready() && since.elapsed() < MAX_IDLE {
+            if sender.is_ready() && since.elapsed() < MAX_IDLE_TIME {
                 return Some(sender);
             }
         }
@@ -179,12 +179,15 @@
     match sender.try_send_request(request).await {
         Ok(response) => Ok(BackendReply { response, sender }),
         Err(mut error) => match error.take_message() {
-            // The library hands the request back only if it has not begun to write it.
+            // The library returns the request only if it has not begun to write it.
             Some(request) => {
                 let reason = error.error().to_string();
                 Err((CallError::NotSent(reason), Some(Box::new(request))))
             }
-            None => Err((CallError::Broke(error.into_error().to_string()), None)),
+            None => Err((
+                CallError::ConnectionLost(error.into_error().to_string()),
+                None,
+            )),
         },
     }
 }
--- a/crates/amaranthscale/src/sidecar/call_error.rs
+++ b/crates/amaranthscale/src/sidecar/call_error.rs
@@ -1,22 +1,22 @@
-//! A call to the backend server that brought no whole answer.
+//! Errors of a call to the backend server.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// A call to the backend server that brought no whole answer.
+    /// Error of a call to the backend server.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum CallError {
-        /// Not a byte of the request was sent.
+        /// No byte of the request was sent.
         NotSent(reason: String) {
-            display("the backend server was not reached: {reason}")
+            display("cannot reach the backend server: {reason}")
         }
-        /// The connection broke after the request may have been seen.
-        Broke(reason: String) {
-            display("the backend server broke off: {reason}")
+        /// The connection was lost after the request may have been received.
+        ConnectionLost(reason: String) {
+            display("lost the connection to the backend server: {reason}")
         }
-        /// The result is above the limit.
+        /// The result exceeds the size limit.
         TooLarge {
-            display("the result is too large")
+            display("the result exceeds the size limit")
         }
     }
 }
--- a/crates/amaranthscale/src/sidecar/claims.rs
+++ b/crates/amaranthscale/src/sidecar/claim_writer.rs
@@ -1,8 +1,8 @@
-//! The claim rows of calls that may not be repeated.
+//! Writes of claim rows, for calls that may not be repeated.
 //!
-//! A claim is taken just before the call. Until it is settled the call does not start; what cannot
-//! be settled in time is given up by cancelling the version that the attempt carries, so that a
-//! write that takes effect late finds its version gone.
+//! A call is claimed just before it is made and does not start until the claim is settled. A claim
+//! that is not settled in time is abandoned by cancelling the row version that the attempt carries,
+//! so that a delayed write fails its version check.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,35 +20,35 @@
 
 use crate::process::{Counters, PlatformClient, TableWrite, new_write_id};
 
-/// Largest result that goes into the row itself; hexadecimal doubles it, and rows are read often.
+/// Largest result stored in the row itself; hexadecimal doubles it, and rows are read often.
 const MAX_INLINE_BYTES: usize = 32 * 1024;
-/// Pause before an object that was not kept is sent again.
-const OBJECT_PAUSE: Duration = Duration::from_secs(1);
+/// Delay before storing an object is retried.
+const OBJECT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What became of a claim.
+/// Outcome of a claim.
 #[derive(Debug)]
-pub(super) enum ClaimAnswer {
-    /// The call may be made; the row says so.
+pub(super) enum ClaimOutcome {
+    /// The row is claimed and the call may be made.
     Won(Row),
-    /// Another write holds the row, or has replaced ours.
+    /// Another write has the row, or has replaced this claim.
     Lost,
-    /// The table gave no answer in time.
-    Away {
-        /// Whether the claim may still take effect and has to be given up.
+    /// The table did not answer in time.
+    Unavailable {
+        /// Whether the claim may still take effect and has to be abandoned.
         may_take_effect: bool,
     },
 }
 
-/// Moves claim rows on behalf of one life of a sidecar.
+/// Writes claim rows for one incarnation of a sidecar.
 #[derive(Debug)]
-pub(super) struct Claims {
+pub(super) struct ClaimWriter {
     host: HostId,
     incarnation: Incarnation,
     platform: PlatformClient,
     counters: Arc<Counters>,
 }
 
-impl Claims {
+impl ClaimWriter {
     pub(super) const fn new(
         host: HostId,
         incarnation: Incarnation,
@@ -63,31 +63,31 @@
         }
     }
 
-    /// Claims the version that an attempt carries.
+    /// Claims the row version that an attempt carries.
     pub(super) async fn claim(
         &self,
         ticket: &ClaimTicket,
         attempt: AttemptId,
-        patience: Duration,
-    ) -> ClaimAnswer {
+        timeout: Duration,
+    ) -> ClaimOutcome {
         let (host, incarnation) = (self.host.clone(), self.incarnation);
         let write = claim_write(ticket, host, incarnation, attempt, new_write_id());
         let mut write = TableWrite::new(write);
         let settling = write.settle(&self.platform);
-        match tokio::time::timeout(patience, settling).await {
-            Ok(WriteStep::Won { row }) => ClaimAnswer::Won(row),
-            Ok(_settled) => ClaimAnswer::Lost,
-            Err(_elapsed) => ClaimAnswer::Away {
+        match tokio::time::timeout(timeout, settling).await {
+            Ok(WriteStep::Won { row }) => ClaimOutcome::Won(row),
+            Ok(_settled) => ClaimOutcome::Lost,
+            Err(_elapsed) => ClaimOutcome::Unavailable {
                 may_take_effect: write.may_take_effect(),
             },
         }
     }
 
-    /// Makes sure that an attempt never holds its claim.
+    /// Makes sure that an attempt never has its claim.
     ///
-    /// Guards against a claim whose answer was lost: its caller is told "not run", and a claim that
-    /// takes effect afterwards would show as a call that nobody makes and nobody may repeat. The
-    /// version that it needs is taken away; where the claim came first, its row is freed.
+    /// The reply to a claim may be lost. Its caller is told "not run", and a claim that takes
+    /// effect afterwards would show a call that is never made and may never be repeated. The row
+    /// version that the claim needs is cancelled; if the claim took effect first, its row is freed.
     pub(super) async fn abandon(&self, ticket: &ClaimTicket, attempt: AttemptId) {
         let step = self.cancel(ticket, ticket.version).await;
         let row = match step {
@@ -96,17 +96,17 @@
         };
         if attempt_status(&row, attempt, ticket.version) == AttemptStatus::Claimed {
             self.counters.count("claim.late_effect");
-            info!("sidecar: claim of {attempt} took effect late and is freed");
+            info!("sidecar: claim of {attempt} took effect late, freeing it");
             self.release(ticket, &row).await;
         }
     }
 
-    /// Frees a claim that was won and whose call was not made.
+    /// Frees a claim that was won but whose call was not made.
     pub(super) async fn release(&self, ticket: &ClaimTicket, started: &Row) {
         let _ = self.cancel(ticket, started.version).await;
     }
 
-    /// Keeps the outcome of a call in its row.
+    /// Stores the outcome of a call in its row.
     pub(super) async fn finish(
         &self,
         started: &Row,
@@ -133,26 +133,29 @@
 
     async fn record(&self, mut write: TableWrite, code: ResultCode) {
         match write.settle(&self.platform).await {
-            // An entry that took this sidecar for gone has marked the call as unknown.
+            // An entry that assumed this sidecar to have failed has marked the call as unknown.
             WriteStep::LostTo { row } | WriteStep::Undecided { row } => {
                 self.counters.count_reason("finish.lost", code.name());
-                warn!("sidecar: outcome {code} not kept, {} was closed", row.key);
+                warn!(
+                    "sidecar: outcome {code} not stored, {} was already closed",
+                    row.key
+                );
             }
             _recorded => {}
         }
     }
 
-    /// Puts a result where the row can name it.
+    /// Stores a result in the row, or in the object store if it is large.
     async fn store(&self, started: &Row, result: Bytes) -> StoredResult {
         if result.len() <= MAX_INLINE_BYTES {
             return StoredResult::Inline(result.to_vec());
         }
-        // The key is unique to this claim, and a repeat writes the same bytes.
+        // The key is unique to this claim, so a retry writes the same bytes.
         let key = format!("result/{}/{}", started.key, started.version);
         while let Err(error) = self.platform.put_object(&key, result.clone()).await {
             self.counters.count("finish.object_retry");
-            warn!("sidecar: result {key} not kept yet: {error}");
-            tokio::time::sleep(OBJECT_PAUSE).await;
+            warn!("sidecar: result {key} not stored, retrying: {error}");
+            tokio::time::sleep(OBJECT_RETRY_DELAY).await;
         }
         StoredResult::Object(key)
     }
--- a/crates/amaranthscale/src/sidecar/cost_writer.rs
+++ b/crates/amaranthscale/src/sidecar/cost_writer.rs
@@ -1,4 +1,4 @@
-//! Writes what attempts cost into the platform's table.
+//! Writes the cost of attempts to the platform's table.
 
 use std::time::Duration;
 
@@ -7,70 +7,70 @@
 use ractor::{ActorRef, call};
 use tokio::sync::Mutex;
 
-use super::gate::GateMessage;
+use super::scheduler::SchedulerMessage;
 use crate::process::PlatformClient;
 
-/// Bytes of rows a second, on a mean, that costs may take of a node's 3 kB/s for all of control.
+/// Mean rate of bytes for cost rows, out of 3 kB/s for all control traffic of a host.
 ///
-/// A sidecar that serves a thousand organisations changes hundreds of rows between two writes; at
-/// a fixed interval they took more than the whole of that bound. More bytes here mean that costs
-/// of a host that dies are known up to a later time.
+/// A sidecar that serves a thousand organisations changes hundreds of rows between two writes,
+/// which exceeded the whole limit at a fixed interval. With a higher rate less cost is lost when a
+/// host fails.
 const ROW_BYTES_PER_SECOND: u32 = 1000;
-/// Longest time between two writes, so that what a dying host had not written stays small.
-const LONGEST_INTERVAL: Duration = Duration::from_mins(10);
-/// Tries of the write at a graceful stop.
-const LAST_TRIES: u32 = 3;
+/// Longest time between two writes; limits the cost that is lost when a host fails.
+const MAX_INTERVAL: Duration = Duration::from_mins(10);
+/// Attempts of the write at a graceful stop.
+const FINAL_ATTEMPTS: u32 = 3;
 
-/// Writes what attempts cost into the platform's table.
+/// Writes the cost of attempts to the platform's table.
 ///
-/// The rows hold absolute totals of this life, so that a write whose answer was lost is simply
-/// written again with the next totals.
+/// Rows contain absolute totals of this incarnation, so a write whose reply was lost can be
+/// repeated with newer totals.
 #[derive(Debug)]
 pub(super) struct CostWriter {
-    gate: ActorRef<GateMessage>,
+    scheduler: ActorRef<SchedulerMessage>,
     platform: PlatformClient,
-    /// Rows that are not known to be written.
+    /// Rows whose write is not confirmed.
     unwritten: Mutex<Vec<RowWrite>>,
 }
 
 impl CostWriter {
-    pub(super) fn new(gate: ActorRef<GateMessage>, platform: PlatformClient) -> Self {
+    pub(super) fn new(scheduler: ActorRef<SchedulerMessage>, platform: PlatformClient) -> Self {
         Self {
-            gate,
+            scheduler,
             platform,
             unwritten: Mutex::new(Vec::new()),
         }
     }
 
-    /// Writes changed totals again and again.
+    /// Writes changed totals periodically.
     pub(super) async fn run(self: std::sync::Arc<Self>, interval: Duration) {
-        let mut pause = interval;
+        let mut delay = interval;
         loop {
-            // Jitter keeps a fleet that was started together from writing together.
-            tokio::time::sleep(pause.mul_f64(rand::random_range(0.75..1.25))).await;
-            pause = interval.max(self.write_once().await.pause());
+            // Jitter spreads the writes of sidecars that were started together.
+            tokio::time::sleep(delay.mul_f64(rand::random_range(0.75..1.25))).await;
+            delay = interval.max(self.write_once().await.delay());
         }
     }
 
     /// Writes the last totals before a stop.
-    pub(super) async fn write(&self) {
-        for _try in 0..LAST_TRIES {
+    pub(super) async fn write_final(&self) {
+        for _attempt in 0..FINAL_ATTEMPTS {
             if self.write_once().await.is_written {
                 return;
             }
         }
     }
 
-    /// Writes the totals if they changed.
-    async fn write_once(&self) -> Written {
+    /// Writes the totals if they have changed.
+    async fn write_once(&self) -> WriteReport {
         let mut unwritten = self.unwritten.lock().await;
-        if let Ok(changed) = call!(self.gate, GateMessage::Costs)
+        if let Ok(changed) = call!(self.scheduler, SchedulerMessage::CostRows)
             && !changed.is_empty()
         {
             *unwritten = changed;
         }
         if unwritten.is_empty() {
-            return Written::default();
+            return WriteReport::default();
         }
         let transaction = Transaction {
             checks: Vec::new(),
@@ -78,45 +78,45 @@
         };
         let length_bytes = length_bytes(&transaction.writes);
         if let Err(error) = self.platform.transact(&transaction).await {
-            debug!("sidecar: costs not written yet: {error}");
+            debug!("sidecar: costs not written, retrying later: {error}");
             let is_written = false;
-            return Written {
+            return WriteReport {
                 is_written,
                 length_bytes,
             };
         }
         unwritten.clear();
         let is_written = true;
-        Written {
+        WriteReport {
             is_written,
             length_bytes,
         }
     }
 }
 
-/// What became of one write.
+/// Outcome of one write.
 #[derive(Debug, Clone, Copy)]
-struct Written {
-    /// Whether nothing is left to write.
+struct WriteReport {
+    /// Whether no unwritten rows remain.
     is_written: bool,
-    /// Length of the rows that were sent.
+    /// Total length of the rows that were sent.
     length_bytes: usize,
 }
 
-impl Written {
-    /// Time over which the rows are spread, so that their mean stays within its bound.
-    fn pause(self) -> Duration {
+impl WriteReport {
+    /// Time until the next write that keeps the mean rate within its limit.
+    fn delay(self) -> Duration {
         if !self.is_written {
             return Duration::ZERO;
         }
         let length_bytes = u32::try_from(self.length_bytes).unwrap_or(u32::MAX);
-        // The answer carries the rows back, so each byte counts twice.
-        let pause = Duration::from_secs(1) * length_bytes.saturating_mul(2) / ROW_BYTES_PER_SECOND;
-        pause.min(LONGEST_INTERVAL)
+        // The reply contains the rows again, so each byte counts twice.
+        let delay = Duration::from_secs(1) * length_bytes.saturating_mul(2) / ROW_BYTES_PER_SECOND;
+        delay.min(MAX_INTERVAL)
     }
 }
 
-impl Default for Written {
+impl Default for WriteReport {
     fn default() -> Self {
         Self {
             is_written: true,
--- a/crates/amaranthscale/src/sidecar/job.rs
+++ b/crates/amaranthscale/src/sidecar/job.rs
@@ -1,4 +1,4 @@
-//! One attempt on its way through a sidecar.
+//! One attempt at a sidecar.
 
 use std::sync::Arc;
 
@@ -9,20 +9,20 @@
 
 use super::answer::Answer;
 
-/// One attempt on its way through a sidecar.
+/// One attempt at a sidecar.
 #[derive(Debug)]
 pub(super) struct Job {
     /// The attempt, without its input.
     pub(super) dispatch: Dispatch,
     /// Body for the backend server.
     pub(super) input: Bytes,
-    /// Reading at which the attempt arrived.
+    /// Clock reading at which the attempt arrived.
     pub(super) arrival: SidecarClock,
-    /// Reading at which its budget is spent.
+    /// Clock reading at which its budget is exhausted.
     pub(super) deadline: SidecarClock,
-    /// Where its answer grows.
+    /// Its answer.
     pub(super) answer: Arc<Answer>,
-    /// Told when a revocation cancels it.
+    /// Notified when a revocation cancels the attempt.
     pub(super) cancel: Notify,
 }
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Whether the call may be cancelled or made again.
+    /// Whether the call may be cancelled or repeated.
     pub(super) const fn is_repeatable(&self) -> bool {
         self.dispatch.claim.is_none()
     }
--- a/crates/amaranthscale/src/sidecar/orders.rs
+++ b/crates/amaranthscale/src/sidecar/orders.rs
@@ -1,17 +1,17 @@
-//! Brings the engine beside this sidecar to what the placement wants.
+//! Orders the sidecar's engine to run what the placement assigns to it.
 //!
-//! The placement row is polled; [`EngineOrders`] decides what is due and only ever moves up. An
-//! assignment reaches the engine as single steps (unload, change role, load), each sent after the
-//! one before was answered, all with the placement's version as their fencing number.
+//! The placement row is polled, and [`EngineOrders`] decides which order is due; placement versions
+//! only increase. An assignment is sent as single steps (unload, change role, load), each after the
+//! previous one was answered, all with the placement's version as fencing number.
 //!
-//! What the engine runs is read from itself before each order. A restarted engine is so ordered
-//! again, and a step that is done already is not repeated.
+//! The engine is asked for its current assignment before each order, so that a restarted engine is
+//! ordered again and steps that are already done are not repeated.
 
-mod engine_board;
 mod engine_client;
 mod engine_step;
 mod order_error;
 mod order_settings;
+mod shared_engine_status;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,29 +23,30 @@
 use amaranthscale_core::wire::Row;
 use log::{info, warn};
 
-#[doc(inline)]
-pub(super) use engine_board::{EngineBoard, EngineStatus};
 use engine_client::EngineClient;
 use engine_step::steps;
 use order_error::OrderError;
 #[doc(inline)]
 pub use order_settings::OrderSettings;
+#[doc(inline)]
+pub(super) use shared_engine_status::{EngineStatus, SharedEngineStatus};
 
-use super::board::Board;
+use super::shared_state::SharedState;
 use crate::process::{Counters, PlatformClient};
 
-/// Shortest pause between polls, as a share of the set one; sidecars that start together part.
-const LEAST_POLL_SHARE: f64 = 0.75;
+/// Shortest poll interval as a fraction of the configured one; spreads sidecars that start
+/// together.
+const MIN_POLL_FRACTION: f64 = 0.75;
 
-/// Polls the placement and orders the engine.
+/// Polls the placement and sends orders to the engine.
 #[derive(Debug)]
 pub(super) struct OrderLoop {
     settings: OrderSettings,
     orders: EngineOrders,
     engine: EngineClient,
     platform: PlatformClient,
-    board: Arc<Board>,
-    shown: Arc<EngineBoard>,
+    shared: Arc<SharedState>,
+    engine_status: Arc<SharedEngineStatus>,
     counters: Arc<Counters>,
 }
 
@@ -54,19 +55,19 @@
         settings: OrderSettings,
         engine: SocketAddr,
         platform: PlatformClient,
-        board: Arc<Board>,
-        shown: Arc<EngineBoard>,
+        shared: Arc<SharedState>,
+        engine_status: Arc<SharedEngineStatus>,
         counters: Arc<Counters>,
     ) -> Self {
-        let orders = EngineOrders::new(board.host.clone(), settings.order_timeout)
+        let orders = EngineOrders::new(shared.host.clone(), settings.order_timeout)
             .with_refusal_pause(settings.refusal_retry_delay);
         Self {
             settings,
             orders,
             engine: EngineClient::new(engine, settings.order_timeout),
             platform,
-            board,
-            shown,
+            shared,
+            engine_status,
             counters,
         }
     }
@@ -74,39 +75,39 @@
     /// Runs until its task ends.
     pub(super) async fn run(mut self) {
         loop {
-            self.turn().await;
-            let share = rand::random_range(LEAST_POLL_SHARE..1.0);
-            tokio::time::sleep(self.settings.poll_interval.mul_f64(share)).await;
+            self.poll_once().await;
+            let fraction = rand::random_range(MIN_POLL_FRACTION..1.0);
+            tokio::time::sleep(self.settings.poll_interval.mul_f64(fraction)).await;
         }
     }
 
-    async fn turn(&mut self) {
+    async fn poll_once(&mut self) {
         self.read_placement().await;
         let Some(running) = self.read_engine().await else {
             return;
         };
-        // Failure: a leaving host's engine unloads a model under requests that still run, since
-        // its sidecar meets an old plan. Guard: who leaves gives no more orders.
-        if self.board.is_leaving() {
+        // A leaving sidecar sends no orders: an outdated placement could make its engine unload a
+        // model that running requests still use.
+        if self.shared.is_leaving() {
             return;
         }
-        if let Some(order) = self.orders.next(self.board.now()) {
-            self.carry_out(order, &running).await;
+        if let Some(order) = self.orders.next(self.shared.now()) {
+            self.execute(order, &running).await;
         }
     }
 
     async fn read_placement(&mut self) {
         match self.platform.row(PLACEMENT_HEAD_KEY).await {
-            Ok(head) if self.is_at(&head) => return,
-            Ok(_moved) => {}
-            Err(_away) => return self.counters.count("orders.placement_unread"),
+            Ok(head) if self.is_current(&head) => return,
+            Ok(_newer) => {}
+            Err(_unavailable) => return self.counters.count("orders.placement_unread"),
         }
         let row = match self.platform.row(PLACEMENT_KEY).await {
             Ok(row) => row,
-            Err(_away) => return self.counters.count("orders.placement_unread"),
+            Err(_unavailable) => return self.counters.count("orders.placement_unread"),
         };
         match self.orders.observe(&row) {
-            PlacementUpdate::Applied => info!("sidecar: placement {} is taken", row.version),
+            PlacementUpdate::Applied => info!("sidecar: placement {} applied", row.version),
             PlacementUpdate::NotNewer => {}
             PlacementUpdate::Corrupt => {
                 self.counters.count("orders.placement_corrupt");
@@ -114,11 +115,11 @@
             }
         }
         let version = self.orders.view().version();
-        self.shown.set_wanted(version, self.orders.wanted());
+        self.engine_status.set_wanted(version, self.orders.wanted());
     }
 
-    /// Whether the placement has been read at the version that its head row tells.
-    fn is_at(&self, head: &Row) -> bool {
+    /// Whether the placement was read at the version given by its head row.
+    fn is_current(&self, head: &Row) -> bool {
         let view = self.orders.view();
         let version = read_placement_head(head).unwrap_or_default();
         view.is_read() && version <= view.version()
@@ -128,40 +129,40 @@
         match self.engine.running().await {
             Ok(running) => {
                 self.orders.observe_running(running.clone());
-                self.shown.set_running(running.clone());
+                self.engine_status.set_running(running.clone());
                 Some(running)
             }
             Err(error) => {
                 self.counters.count("orders.engine_unread");
-                self.shown.set_failure(&error);
+                self.engine_status.set_failure(&error);
                 None
             }
         }
     }
 
-    async fn carry_out(&mut self, order: EngineOrder, running: &Assignment) {
+    async fn execute(&mut self, order: EngineOrder, running: &Assignment) {
         if order.replaces_unanswered {
             self.counters.count("orders.after_silence");
         }
-        self.shown.set_in_flight(Some(order.number));
+        self.engine_status.set_in_flight(Some(order.number));
         let sent = self.send_steps(&order, running).await;
-        self.shown.set_in_flight(None);
+        self.engine_status.set_in_flight(None);
         match sent {
-            Ok(()) => self.done(order),
-            // Nothing tells whether the engine has carried it out: it counts as under way until it
-            // has been silent for long enough.
-            Err(error @ OrderError::NoAnswer(_)) => self.failed("orders.unanswered", &error),
+            Ok(()) => self.confirm(order),
+            // It is unknown whether the engine has executed the order, so it counts as in flight
+            // until the order timeout.
+            Err(error @ OrderError::NoAnswer(_)) => self.log_failure("orders.unanswered", &error),
             Err(error @ OrderError::Refused(_)) => {
-                self.orders.refused(order.number, self.board.now());
-                self.failed("orders.refused", &error);
+                self.orders.refused(order.number, self.shared.now());
+                self.log_failure("orders.refused", &error);
             }
         }
     }
 
-    /// Sends the steps one by one; the first refusal is what comes of them.
+    /// Sends the steps one by one and returns the first refusal, if any.
     ///
-    /// Failure: a model that cannot be loaded keeps all the models after it from its engine. Guard:
-    /// a refused step is known not to be under way, so the next may go out.
+    /// A refused step is not in flight, so the next one is sent. Otherwise a model that cannot be
+    /// loaded would prevent loading all models after it.
     async fn send_steps(
         &self,
         order: &EngineOrder,
@@ -181,15 +182,15 @@
         outcome
     }
 
-    fn done(&mut self, order: EngineOrder) {
+    fn confirm(&mut self, order: EngineOrder) {
         self.orders.confirmed(order.number);
         info!("sidecar: the engine runs placement {}", order.number);
-        self.shown.set_done(order.assignment);
+        self.engine_status.set_confirmed(order.assignment);
     }
 
-    fn failed(&self, counter: &str, error: &OrderError) {
+    fn log_failure(&self, counter: &str, error: &OrderError) {
         self.counters.count(counter);
         warn!("sidecar: an order failed: {error}");
-        self.shown.set_failure(error);
+        self.engine_status.set_failure(error);
     }
 }
--- a/crates/amaranthscale/src/sidecar/orders/engine_client.rs
+++ b/crates/amaranthscale/src/sidecar/orders/engine_client.rs
@@ -1,4 +1,4 @@
-//! HTTP to the order interface of the engine.
+//! HTTP client of the engine's order interface.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,12 +21,12 @@
 
 /// Path of orders.
 const ORDERS_PATH: &str = "/orders";
-/// Longest wait for what the engine says of itself, which costs it no work.
+/// Timeout for reading the engine's state, which takes it no work.
 const STATE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest answer; an engine that keeps a history of its orders sends it along.
+/// Maximum size of an answer; some engines include the history of their orders.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
-/// Orders the engine, each call on a connection of its own.
+/// Client of the engine's order interface; each call uses its own connection.
 #[derive(Debug)]
 pub(super) struct EngineClient {
     address: SocketAddr,
@@ -41,14 +41,14 @@
         }
     }
 
-    /// What the engine runs.
+    /// Reads what the engine runs.
     pub(super) async fn running(&self) -> Result<Assignment, OrderError> {
         let state = self.call(Method::GET, Vec::new(), STATE_TIMEOUT).await?;
         let state: EngineState = serde_json::from_slice(&state).map_err(no_answer)?;
         Ok(state.into())
     }
 
-    /// Gives one order and waits until the engine has carried it out.
+    /// Sends one order and waits until the engine has executed it.
     pub(super) async fn order(
         &self,
         fence: PlacementVersion,
@@ -64,14 +64,14 @@
         &self,
         method: Method,
         body: Vec<u8>,
-        bound: Duration,
+        call_timeout: Duration,
     ) -> Result<Bytes, OrderError> {
-        // Failure: a silent order is carried out after the next one, and an engine that ignores
-        // fencing numbers ends with the older placement. Guard: the connection runs in a task of
-        // this set, which is ended before the call returns, also when it was given up.
+        // An order that timed out must not be executed after the next one, or an engine that
+        // ignores fencing numbers would end with the older placement. The connection therefore runs
+        // in a task of this set, which is shut down before the call returns, also after a timeout.
         let mut connection = JoinSet::new();
-        let answering = self.exchange(method, body, &mut connection);
-        let answered = timeout(bound, answering).await;
+        let exchange = self.exchange(method, body, &mut connection);
+        let answered = timeout(call_timeout, exchange).await;
         connection.shutdown().await;
         let (status, body) = answered.unwrap_or_else(|elapsed| Err(no_answer(elapsed)))?;
         if status.is_success() {
--- a/crates/amaranthscale/src/sidecar/orders/engine_step.rs
+++ b/crates/amaranthscale/src/sidecar/orders/engine_step.rs
@@ -1,10 +1,10 @@
-//! Single orders, as the engine's interface takes them.
+//! Messages of the engine's order interface.
 
 use amaranthscale_core::id::{ModelId, PlacementVersion};
 use amaranthscale_core::version::{Assignment, EngineRole};
 use serde::{Deserialize, Serialize};
 
-/// Role of an engine in the words of its interface.
+/// Role of an engine, as its order interface names it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum StepRole {
@@ -13,7 +13,7 @@
     Both,
 }
 
-/// One order.
+/// A single order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum EngineStep {
@@ -29,7 +29,7 @@
     pub(super) order: EngineStep,
 }
 
-/// What the engine says of itself.
+/// State that the engine reports.
 #[derive(Debug, Deserialize)]
 pub(super) struct EngineState {
     models: Vec<ModelId>,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Steps from what runs to what is wanted; unloads go first, as memory is limited.
+/// Steps from the running to the wanted assignment; unloads come first, because memory is limited.
 pub(super) fn steps(running: &Assignment, wanted: &Assignment) -> Vec<EngineStep> {
     let surplus = running.models.difference(&wanted.models).cloned();
     let role = (running.role != wanted.role).then(|| EngineStep::SetRole(wanted.role.into()));
--- a/crates/amaranthscale/src/sidecar/orders/order_error.rs
+++ b/crates/amaranthscale/src/sidecar/orders/order_error.rs
@@ -1,16 +1,16 @@
-//! An order that the engine did not confirm.
+//! Errors of orders to the engine.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// An order that the engine did not confirm.
+    /// Error of an order to the engine.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum OrderError {
-        /// No answer came; the order may have been carried out.
+        /// The engine did not answer; the order may have been executed.
         NoAnswer(reason: String) {
             display("the engine did not answer: {reason}")
         }
-        /// The engine refused it.
+        /// The engine refused the order.
         Refused(status: u16) {
             display("the engine refused with status {status}")
         }
--- a/crates/amaranthscale/src/sidecar/orders/engine_board.rs
+++ b/crates/amaranthscale/src/sidecar/orders/shared_engine_status.rs
@@ -1,4 +1,4 @@
-//! What a sidecar shows of its engine.
+//! Status of a sidecar's engine.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -9,30 +9,30 @@
 
 use super::{OrderError, OrderSettings};
 
-/// What `/status` shows of an engine.
+/// Status of an engine in `/status`.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct EngineStatus {
     /// Whether it refuses orders with an old fencing number.
     pub honours_fence: bool,
-    /// Placement that the sidecar goes by; 0 while none was read.
+    /// Placement that the sidecar applies; 0 until one was read.
     pub placement_version: PlacementVersion,
-    /// What the placement wants of it; none while it is not named.
+    /// Assignment in the placement; none if the placement does not contain the host.
     pub wanted: Option<Assignment>,
-    /// What it was last heard to run; none before it has answered.
+    /// Assignment that it last reported to run; none until it has answered.
     pub running: Option<Assignment>,
-    /// Placement of the order that waits for its answer.
+    /// Placement version of the order in flight.
     pub order_in_flight: Option<PlacementVersion>,
-    /// Why the last order or look failed; none after one that did not.
+    /// Error of the last order or read of the engine; none after a success.
     pub last_failure: Option<String>,
 }
 
-/// What a sidecar shows of its engine, readable while an order is under way.
+/// Shared status of a sidecar's engine, readable while an order is in flight.
 #[derive(Debug)]
-pub struct EngineBoard {
+pub struct SharedEngineStatus {
     status: Mutex<EngineStatus>,
 }
 
-impl EngineBoard {
+impl SharedEngineStatus {
     pub(in crate::sidecar) fn new(settings: OrderSettings) -> Self {
         let status = EngineStatus {
             honours_fence: settings.honours_fence,
@@ -73,7 +73,7 @@
         self.lock().order_in_flight = number;
     }
 
-    pub(super) fn set_done(&self, running: Assignment) {
+    pub(super) fn set_confirmed(&self, running: Assignment) {
         let mut status = self.lock();
         status.running = Some(running);
         status.last_failure = None;
--- a/crates/amaranthscale/src/sidecar/routes.rs
+++ b/crates/amaranthscale/src/sidecar/routes.rs
@@ -1,4 +1,4 @@
-//! What a sidecar answers on each path.
+//! HTTP interface of a sidecar.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,34 +19,34 @@
 
 use super::answer::Answer;
 use super::answer_body::AnswerBody;
-use super::gate::{Fetched, GateMessage};
 use super::job::Job;
 use super::runner::Runner;
+use super::scheduler::{Fetched, SchedulerMessage};
 use super::status::Status;
 use crate::connection::{ResponseBody, empty_body, full_body, read_body};
 use crate::process::{ControlKind, ControlTraffic};
 
-/// Longest wait for the body of a message from another process.
-const BODY_PATIENCE: Duration = Duration::from_secs(10);
-/// Room beside a dispatch's input for its other fields.
+/// Timeout for reading the body of a message.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Size allowed for the fields of a dispatch other than its input.
 const DISPATCH_OVERHEAD_BYTES: usize = 16 * 1024;
 
-/// What a sidecar answers on each path.
+/// HTTP handler of a sidecar.
 #[derive(Debug)]
 pub(super) struct Routes {
-    pub(super) gate: ActorRef<GateMessage>,
+    pub(super) scheduler: ActorRef<SchedulerMessage>,
     pub(super) runner: Arc<Runner>,
 }
 
 impl Routes {
-    /// Answers one request.
+    /// Handles one request.
     pub(super) async fn answer(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> Response<ResponseBody> {
         let method = request.method().clone();
         let path = request.uri().path().to_owned();
-        let answered = match (method, path.as_str()) {
+        let result = match (method, path.as_str()) {
             (Method::POST, "/attempt") => self.attempt(request).await,
             (Method::POST, "/hello") => self.hello(request).await,
             (Method::POST, "/revoke") => self.revoke(request).await,
@@ -54,90 +54,100 @@
             (Method::POST, "/tree/since") => self.tree_since(request).await,
             (Method::POST, "/engine") => self.engine(),
             (Method::POST, "/leave") => Ok(self.leave()),
-            (Method::GET, "/healthz") => Ok(plain(StatusCode::OK)),
-            (Method::GET, "/readyz") => Ok(plain(self.readiness())),
+            (Method::GET, "/healthz") => Ok(status_response(StatusCode::OK)),
+            (Method::GET, "/readyz") => Ok(status_response(self.readiness())),
             (Method::GET, "/status") => self.status().await,
             _ => Err(StatusCode::NOT_FOUND),
         };
-        answered.unwrap_or_else(plain)
+        result.unwrap_or_else(status_response)
     }
 
-    async fn attempt(&self, request: Request<Incoming>) -> Answered {
-        let arrival = self.runner.board.now();
+    async fn attempt(&self, request: Request<Incoming>) -> RouteResult {
+        let arrival = self.runner.shared.now();
         let dispatch: Dispatch = self.read(ControlKind::Attempt, request).await?;
-        self.runner.board.tree.heard(dispatch.tree_version);
+        self.runner
+            .shared
+            .tree
+            .report_version(dispatch.tree_version);
         let max_result = self.runner.limits.max_result.as_bytes();
         let max_bytes = usize::try_from(max_result).unwrap_or(usize::MAX);
         let job = Arc::new(Job::new(dispatch, arrival, max_bytes));
         let answer = Arc::clone(&job.answer);
-        self.tell(GateMessage::Dispatch(job))?;
-        Ok(stream(self.follow(answer, 0)))
+        self.send(SchedulerMessage::Dispatch(job))?;
+        Ok(stream_response(self.follow(answer, 0)))
     }
 
-    async fn hello(&self, request: Request<Incoming>) -> Answered {
+    async fn hello(&self, request: Request<Incoming>) -> RouteResult {
         let hello: Hello = self.read(ControlKind::Hello, request).await?;
-        self.runner.board.tree.heard(hello.tree_version);
-        Ok(self.packed(ControlKind::Hello, &self.runner.board.stamp()))
+        self.runner.shared.tree.report_version(hello.tree_version);
+        Ok(self.msgpack_response(ControlKind::Hello, &self.runner.shared.stamp()))
     }
 
-    async fn revoke(&self, request: Request<Incoming>) -> Answered {
+    async fn revoke(&self, request: Request<Incoming>) -> RouteResult {
         let revoke: Revoke = self.read(ControlKind::Revoke, request).await?;
-        let answer = self.ask(|reply| GateMessage::Revoke(revoke, reply)).await?;
-        let stamp = self.runner.board.stamp();
-        Ok(self.packed(ControlKind::Revoke, &RevokeReply { answer, stamp }))
+        let answer = self
+            .call_scheduler(|reply| SchedulerMessage::Revoke(revoke, reply))
+            .await?;
+        let stamp = self.runner.shared.stamp();
+        Ok(self.msgpack_response(ControlKind::Revoke, &RevokeReply { answer, stamp }))
     }
 
-    async fn fetch(&self, request: Request<Incoming>) -> Answered {
+    async fn fetch(&self, request: Request<Incoming>) -> RouteResult {
         let fetch: Fetch = self.read(ControlKind::Fetch, request).await?;
-        let fetched = self.ask(|reply| GateMessage::Fetch(fetch, reply)).await?;
+        let fetched = self
+            .call_scheduler(|reply| SchedulerMessage::Fetch(fetch, reply))
+            .await?;
         let body = match fetched {
             Fetched::Answer(answer) => self.follow(answer, fetch.from_chunk),
-            Fetched::Outcome(outcome) => self.follow(ended(fetch.attempt, *outcome), 0),
+            Fetched::Outcome(outcome) => self.follow(ended_answer(fetch.attempt, *outcome), 0),
         };
-        Ok(stream(body.within(fetch.budget.duration())))
+        Ok(stream_response(body.with_timeout(fetch.budget.duration())))
     }
 
-    async fn tree_since(&self, request: Request<Incoming>) -> Answered {
-        let ask: TreeRequest = self.read(ControlKind::TreeExchange, request).await?;
-        let board = &self.runner.board;
-        board.tree.heard(ask.version);
-        Ok(self.packed(ControlKind::TreeExchange, &board.tree.since(&ask)))
+    async fn tree_since(&self, request: Request<Incoming>) -> RouteResult {
+        let tree_request: TreeRequest = self.read(ControlKind::TreeExchange, request).await?;
+        let shared = &self.runner.shared;
+        shared.tree.report_version(tree_request.version);
+        Ok(self.msgpack_response(
+            ControlKind::TreeExchange,
+            &shared.tree.changes_since(&tree_request),
+        ))
     }
 
-    /// Tells the planner what the engine runs.
-    fn engine(&self) -> Answered {
+    /// Reports to the planner what the engine runs.
+    fn engine(&self) -> RouteResult {
         let engine = self.runner.engine.as_ref().ok_or(StatusCode::NOT_FOUND)?;
-        Ok(self.packed(ControlKind::Placement, &engine.report()))
+        Ok(self.msgpack_response(ControlKind::Placement, &engine.report()))
     }
 
     fn leave(&self) -> Response<ResponseBody> {
-        begin_leaving(&self.runner, &self.gate);
-        plain(StatusCode::OK)
+        begin_leaving(&self.runner, &self.scheduler);
+        status_response(StatusCode::OK)
     }
 
     fn readiness(&self) -> StatusCode {
-        if self.runner.board.is_leaving() {
+        if self.runner.shared.is_leaving() {
             StatusCode::SERVICE_UNAVAILABLE
         } else {
             StatusCode::OK
         }
     }
 
-    async fn status(&self) -> Answered {
-        let gate = self.ask(GateMessage::Figures).await?;
-        let (runner, board) = (&self.runner, &self.runner.board);
-        let max_jobs = usize::try_from(runner.limits.max_table_jobs).unwrap_or(usize::MAX);
+    async fn status(&self) -> RouteResult {
+        let scheduler = self.call_scheduler(SchedulerMessage::Status).await?;
+        let (runner, shared) = (&self.runner, &self.runner.shared);
+        let max_claims = usize::try_from(runner.limits.max_unsettled_claims).unwrap_or(usize::MAX);
         let status = Status {
-            host: board.host.clone(),
+            host: shared.host.clone(),
             service: runner.service.clone(),
-            incarnation: board.incarnation,
-            tree_version: board.tree.version(),
-            is_leaving: board.is_leaving(),
-            clock_ms: board.now().as_millis(),
-            load: board.load(),
-            gate,
+            incarnation: shared.incarnation,
+            tree_version: shared.tree.version(),
+            is_leaving: shared.is_leaving(),
+            clock_ms: shared.now().as_millis(),
+            load: shared.load(),
+            scheduler,
             engine: runner.engine.as_ref().map(|engine| engine.status()),
-            unsettled_claims: max_jobs.saturating_sub(runner.table_jobs.available_permits()),
+            unsettled_claims: max_claims.saturating_sub(runner.claim_permits.available_permits()),
             counters: runner.counters.totals(),
         };
         let json = serde_json::to_vec(&status);
@@ -146,10 +156,10 @@
     }
 
     fn follow(&self, answer: Arc<Answer>, from_chunk: u64) -> AnswerBody {
-        AnswerBody::new(answer, Arc::clone(&self.runner.board), from_chunk)
+        AnswerBody::new(answer, Arc::clone(&self.runner.shared), from_chunk)
     }
 
-    /// Reads a message and counts it by kind.
+    /// Reads a message and counts it under a control kind.
     async fn read<T: DeserializeOwned>(
         &self,
         kind: ControlKind,
@@ -159,10 +169,10 @@
         let max_bytes = max_input
             .unwrap_or(usize::MAX)
             .saturating_add(DISPATCH_OVERHEAD_BYTES);
-        let body = read_body(request.into_body(), max_bytes, BODY_PATIENCE).await;
-        let body = body.map_err(|error| self.undecodable(kind, error))?;
+        let body = read_body(request.into_body(), max_bytes, BODY_TIMEOUT).await;
+        let body = body.map_err(|error| self.decode_failure(kind, error))?;
         self.count_message(kind, &body);
-        wire::decode(&body).map_err(|error| self.undecodable(kind, error))
+        wire::decode(&body).map_err(|error| self.decode_failure(kind, error))
     }
 
     fn count_message(&self, kind: ControlKind, body: &Bytes) {
@@ -171,8 +181,12 @@
         traffic.count_received(kind, body.len());
     }
 
-    /// An answer that is known whole, counted by kind.
-    fn packed(&self, kind: ControlKind, message: &impl Serialize) -> Response<ResponseBody> {
+    /// A response as `application/msgpack`, counted under a control kind.
+    fn msgpack_response(
+        &self,
+        kind: ControlKind,
+        message: &impl Serialize,
+    ) -> Response<ResponseBody> {
         let content = wire::encode(message);
         self.traffic().count_sent(kind, content.len());
         with_content_type(content, "application/msgpack")
@@ -182,47 +196,47 @@
         ControlTraffic::new(Arc::clone(&self.runner.counters))
     }
 
-    fn undecodable(&self, kind: ControlKind, error: impl std::fmt::Display) -> StatusCode {
+    fn decode_failure(&self, kind: ControlKind, error: impl std::fmt::Display) -> StatusCode {
         self.runner.counters.count_reason("undecodable", kind);
-        debug!("sidecar: {kind} not read: {error}");
+        debug!("sidecar: cannot decode {kind} message: {error}");
         StatusCode::BAD_REQUEST
     }
 
-    fn tell(&self, message: GateMessage) -> Result<(), StatusCode> {
-        self.gate.cast(message).map_err(gate_gone)
+    fn send(&self, message: SchedulerMessage) -> Result<(), StatusCode> {
+        self.scheduler.cast(message).map_err(scheduler_stopped)
     }
 
-    async fn ask<T: Send + 'static>(
+    async fn call_scheduler<T: Send + 'static>(
         &self,
-        question: impl FnOnce(RpcReplyPort<T>) -> GateMessage,
+        message: impl FnOnce(RpcReplyPort<T>) -> SchedulerMessage,
     ) -> Result<T, StatusCode> {
-        call!(self.gate, question).map_err(gate_gone)
+        call!(self.scheduler, message).map_err(scheduler_stopped)
     }
 }
 
-type Answered = Result<Response<ResponseBody>, StatusCode>;
+type RouteResult = Result<Response<ResponseBody>, StatusCode>;
 
-/// Marks the backend server as leaving, at once for new work.
-pub(super) fn begin_leaving(runner: &Runner, gate: &ActorRef<GateMessage>) {
-    runner.board.leave();
-    if let Err(error) = gate.cast(GateMessage::Leave) {
-        warn!("sidecar: leaving not told: {error}");
+/// Marks the backend server as leaving; new attempts are refused at once.
+pub(super) fn begin_leaving(runner: &Runner, scheduler: &ActorRef<SchedulerMessage>) {
+    runner.shared.leave();
+    if let Err(error) = scheduler.cast(SchedulerMessage::Leave) {
+        warn!("sidecar: cannot notify the scheduler of leaving: {error}");
     }
 }
 
-/// An answer that only has an end.
-fn ended(attempt: AttemptId, outcome: Outcome) -> Arc<Answer> {
+/// An answer that consists of an end only.
+fn ended_answer(attempt: AttemptId, outcome: Outcome) -> Arc<Answer> {
     let answer = Answer::new(attempt, 0);
     answer.end(outcome);
     Arc::new(answer)
 }
 
-fn gate_gone(error: impl std::fmt::Display) -> StatusCode {
-    warn!("sidecar: the gate is gone: {error}");
+fn scheduler_stopped(error: impl std::fmt::Display) -> StatusCode {
+    warn!("sidecar: the scheduler has stopped: {error}");
     StatusCode::SERVICE_UNAVAILABLE
 }
 
-fn stream(body: AnswerBody) -> Response<ResponseBody> {
+fn stream_response(body: AnswerBody) -> Response<ResponseBody> {
     Response::new(body.boxed_unsync())
 }
 
@@ -233,7 +247,7 @@
     response
 }
 
-fn plain(status: StatusCode) -> Response<ResponseBody> {
+fn status_response(status: StatusCode) -> Response<ResponseBody> {
     let mut response = Response::new(empty_body());
     *response.status_mut() = status;
     response
--- a/crates/amaranthscale/src/sidecar/runner.rs
+++ b/crates/amaranthscale/src/sidecar/runner.rs
@@ -1,4 +1,4 @@
-//! Runs one attempt that holds a slot: claim, call, answer, record.
+//! Runs one attempt that has a slot: claims the call, makes it and records the outcome.
 
 mod relay;
 mod run_guard;
@@ -19,33 +19,33 @@
 
 use super::SidecarLimits;
 use super::backend_client::BackendClient;
-use super::board::Board;
 use super::call_error::CallError;
-use super::claims::{ClaimAnswer, Claims};
-use super::gate::GateMessage;
+use super::claim_writer::{ClaimOutcome, ClaimWriter};
 use super::job::Job;
-use super::orders::EngineBoard;
+use super::orders::SharedEngineStatus;
+use super::scheduler::SchedulerMessage;
+use super::shared_state::SharedState;
 use crate::process::Counters;
 
-/// Runs attempts that hold a slot.
+/// Runs attempts that have a slot.
 #[derive(Debug)]
 pub(super) struct Runner {
     pub(super) service: ServiceId,
     pub(super) limits: SidecarLimits,
-    pub(super) board: Arc<Board>,
+    pub(super) shared: Arc<SharedState>,
     pub(super) backend: Arc<BackendClient>,
-    pub(super) claims: Arc<Claims>,
+    pub(super) claim_writer: Arc<ClaimWriter>,
     pub(super) counters: Arc<Counters>,
     /// One permit for each claimed attempt, from its claim until its row is settled.
-    pub(super) table_jobs: Arc<Semaphore>,
-    /// What is known of an engine that takes orders.
-    pub(super) engine: Option<Arc<EngineBoard>>,
+    pub(super) claim_permits: Arc<Semaphore>,
+    /// Status of an engine that accepts orders.
+    pub(super) engine: Option<Arc<SharedEngineStatus>>,
 }
 
 impl Runner {
-    /// Runs an attempt and tells the gate how it ended.
-    pub(super) async fn run(self: Arc<Self>, job: Arc<Job>, gate: ActorRef<GateMessage>) {
-        let guard = RunGuard::new(Arc::clone(&job), gate);
+    /// Runs an attempt and reports its end to the scheduler.
+    pub(super) async fn run(self: Arc<Self>, job: Arc<Job>, scheduler: ActorRef<SchedulerMessage>) {
+        let guard = RunGuard::new(Arc::clone(&job), scheduler);
         match &job.dispatch.claim {
             None => self.run_repeatable(&job, guard).await,
             Some(ticket) => self.run_claimed(&job, ticket, guard).await,
@@ -53,55 +53,55 @@
     }
 
     async fn run_repeatable(&self, job: &Job, guard: RunGuard) {
-        let started = self.board.now();
-        // The process may have been paused since the gate started the attempt.
+        let started = self.shared.now();
+        // The process may have been paused since the scheduler started the attempt.
         if started >= job.deadline {
             guard.end(Outcome::without_result(ResultCode::ExpiredInQueue));
             return;
         }
-        let deadline = self.board.instant(job.deadline);
+        let deadline = self.shared.instant(job.deadline);
         let call = self.call(job);
         let ended = tokio::select! {
-            called = call => self.judge(job, called),
+            called = call => self.conclude(job, called),
             () = tokio::time::sleep_until(deadline) => {
-                self.cut_off(job, ResultCode::DeadlinePassed)
+                self.cancel_call(job, ResultCode::DeadlinePassed)
             }
-            () = job.cancel.notified() => self.cut_off(job, ResultCode::Cancelled),
+            () = job.cancel.notified() => self.cancel_call(job, ResultCode::Cancelled),
         };
-        let Judged {
+        let CallEnd {
             mut outcome,
             relayed,
         } = ended;
-        self.add_times(job, started, &mut outcome);
+        self.set_times(job, started, &mut outcome);
         guard.end(outcome);
         if let Some(sender) = relayed.and_then(|relayed| relayed.sender) {
-            self.backend.give_back(sender).await;
+            self.backend.return_idle(sender).await;
         }
     }
 
     async fn run_claimed(&self, job: &Job, ticket: &ClaimTicket, guard: RunGuard) {
-        // While the table is away, attempts whose claims are not settled pile up in memory. Each
-        // holds a permit, so what is beyond the bound is refused before anything is written.
-        let Ok(permit) = Arc::clone(&self.table_jobs).try_acquire_owned() else {
+        // While the table is unavailable, attempts with unsettled claims accumulate in memory. Each
+        // holds a permit, so attempts beyond the limit are refused before anything is written.
+        let Ok(permit) = Arc::clone(&self.claim_permits).try_acquire_owned() else {
             guard.end(Outcome::without_result(ResultCode::TableAway));
             return;
         };
         let attempt = job.dispatch.attempt;
-        let patience = self.claim_patience(job);
-        match self.claims.claim(ticket, attempt, patience).await {
-            ClaimAnswer::Won(row) => self.run_won(job, ticket, row, guard, permit).await,
-            ClaimAnswer::Lost => guard.end(Outcome::without_result(ResultCode::ClaimLost)),
-            ClaimAnswer::Away { may_take_effect } => {
+        let timeout = self.claim_timeout(job);
+        match self.claim_writer.claim(ticket, attempt, timeout).await {
+            ClaimOutcome::Won(row) => self.run_with_claim(job, ticket, row, guard, permit).await,
+            ClaimOutcome::Lost => guard.end(Outcome::without_result(ResultCode::ClaimLost)),
+            ClaimOutcome::Unavailable { may_take_effect } => {
                 guard.end(Outcome::without_result(ResultCode::TableAway));
                 if may_take_effect {
-                    self.claims.abandon(ticket, attempt).await;
+                    self.claim_writer.abandon(ticket, attempt).await;
                 }
                 drop(permit);
             }
         }
     }
 
-    async fn run_won(
+    async fn run_with_claim(
         &self,
         job: &Job,
         ticket: &ClaimTicket,
@@ -109,51 +109,53 @@
         guard: RunGuard,
         permit: OwnedSemaphorePermit,
     ) {
-        let started = self.board.now();
+        let started = self.shared.now();
         if started >= job.deadline {
             self.free_claim(ticket, &row, permit).await;
             guard.end(Outcome::without_result(ResultCode::ExpiredInQueue));
             return;
         }
-        let call = tokio::time::timeout(self.limits.max_call, self.call(job));
-        let called = call
-            .await
-            .unwrap_or_else(|_elapsed| Err(CallError::Broke("the call took too long".to_owned())));
-        let Judged {
+        let call = tokio::time::timeout(self.limits.call_timeout, self.call(job));
+        let called = call.await.unwrap_or_else(|_elapsed| {
+            Err(CallError::ConnectionLost("the call timed out".to_owned()))
+        });
+        let CallEnd {
             mut outcome,
             relayed,
-        } = self.judge(job, called);
+        } = self.conclude(job, called);
         if outcome.ran() == Ran::No {
             self.free_claim(ticket, &row, permit).await;
             guard.end(outcome);
             return;
         }
-        self.add_times(job, started, &mut outcome);
+        self.set_times(job, started, &mut outcome);
         let result = relayed.map(|relayed| relayed.result).unwrap_or_default();
-        let recorder = guard.end_unrecorded(outcome.clone());
-        let (claims, fingerprint) = (&self.claims, ticket.fingerprint);
-        claims.finish(&row, fingerprint, outcome, result).await;
-        recorder.recorded();
+        let recorded_notifier = guard.end_unrecorded(outcome.clone());
+        let (claim_writer, fingerprint) = (&self.claim_writer, ticket.fingerprint);
+        claim_writer
+            .finish(&row, fingerprint, outcome, result)
+            .await;
+        recorded_notifier.notify();
         drop(permit);
     }
 
-    /// Frees a claim whose call was not made, before its entry hears of it.
+    /// Frees a claim whose call was not made, before the attempt's end is reported.
     ///
-    /// The entry may send the next attempt at once, and would find the row still claimed. A slow
-    /// table does not hold the answer up for long.
+    /// The entry may send the next attempt at once, and would find the row still claimed. The
+    /// timeout keeps a slow table from delaying the answer for long.
     async fn free_claim(&self, ticket: &ClaimTicket, row: &Row, permit: OwnedSemaphorePermit) {
-        let claims = Arc::clone(&self.claims);
+        let claim_writer = Arc::clone(&self.claim_writer);
         let (ticket, row) = (ticket.clone(), row.clone());
         let freeing = tokio::spawn(async move {
-            claims.release(&ticket, &row).await;
+            claim_writer.release(&ticket, &row).await;
             drop(permit);
         });
-        let _ = tokio::time::timeout(self.limits.claim_patience, freeing).await;
+        let _ = tokio::time::timeout(self.limits.claim_timeout, freeing).await;
     }
 
-    fn claim_patience(&self, job: &Job) -> Duration {
-        let left = self.board.now().until(job.deadline);
-        left.min(self.limits.claim_patience)
+    fn claim_timeout(&self, job: &Job) -> Duration {
+        let left = self.shared.now().until(job.deadline);
+        left.min(self.limits.claim_timeout)
     }
 
     async fn call(&self, job: &Job) -> Result<Relayed, CallError> {
@@ -161,10 +163,10 @@
         Relay::new(job).run(reply).await
     }
 
-    fn judge(&self, job: &Job, called: Result<Relayed, CallError>) -> Judged {
+    fn conclude(&self, job: &Job, called: Result<Relayed, CallError>) -> CallEnd {
         let error = match called {
             Ok(relayed) => {
-                return Judged {
+                return CallEnd {
                     outcome: relayed.outcome.clone(),
                     relayed: Some(relayed),
                 };
@@ -174,39 +176,39 @@
         warn!("sidecar: {} failed: {error}", job.dispatch.attempt);
         let code = match error {
             CallError::NotSent(_) => ResultCode::BackendUnreachable,
-            // The request was seen, so the call may have taken effect.
+            // The request may have been received, so the call may have taken effect.
             _ if !job.is_repeatable() => ResultCode::OutcomeUnknown,
-            CallError::Broke(_) => ResultCode::BackendBroke,
-            CallError::TooLarge => return self.cut_off(job, ResultCode::Cancelled),
+            CallError::ConnectionLost(_) => ResultCode::BackendBroke,
+            CallError::TooLarge => return self.cancel_call(job, ResultCode::Cancelled),
         };
-        Judged::without_result(code)
+        CallEnd::without_result(code)
     }
 
-    /// Ends repeatable work early; its connection is dropped by now.
-    fn cut_off(&self, job: &Job, code: ResultCode) -> Judged {
+    /// Cancels repeatable work whose connection has already been dropped.
+    fn cancel_call(&self, job: &Job, code: ResultCode) -> CallEnd {
         let attempt = job.dispatch.attempt;
-        debug!("sidecar: {attempt} cut off: {code}");
+        debug!("sidecar: {attempt} cancelled early: {code}");
         self.counters.count_reason("cut_off", code.name());
         let backend = Arc::clone(&self.backend);
         tokio::spawn(async move { backend.cancel(attempt).await });
-        Judged::without_result(code)
+        CallEnd::without_result(code)
     }
 
-    fn add_times(&self, job: &Job, started: SidecarClock, outcome: &mut Outcome) {
+    fn set_times(&self, job: &Job, started: SidecarClock, outcome: &mut Outcome) {
         let millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
         outcome.cost.queue_ms = millis(job.arrival.until(started));
-        outcome.cost.server_ms = millis(started.until(self.board.now()));
+        outcome.cost.server_ms = millis(started.until(self.shared.now()));
     }
 }
 
-/// How a call ended, and what came of it.
+/// How a call ended, with its result if there is one.
 #[derive(Debug)]
-struct Judged {
+struct CallEnd {
     outcome: Outcome,
     relayed: Option<Relayed>,
 }
 
-impl Judged {
+impl CallEnd {
     fn without_result(code: ResultCode) -> Self {
         Self {
             outcome: Outcome::without_result(code),
--- a/crates/amaranthscale/src/sidecar/runner/relay.rs
+++ b/crates/amaranthscale/src/sidecar/runner/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a backend server's result into an attempt's answer.
+//! Copies a backend server's result to an attempt's answer.
 
 use super::token_count::TokenCount;
 use amaranthscale_core::ResultCode;
@@ -14,14 +14,14 @@
 use crate::sidecar::call_error::CallError;
 use crate::sidecar::job::Job;
 
-/// Set by a backend server on a refusal of what it did not run.
+/// Header that a backend server sets on a refusal to state that the call did not run.
 const NOT_RUN: &str = "x-not-run";
-/// Number of generated tokens, where the server knows it before it answers.
+/// Header with the number of generated tokens, if the server knows it before it answers.
 const TOKENS: &str = "x-tokens";
-/// Content type of a stream with one token a line.
+/// Content type of a stream with one token per line.
 const STREAM_CONTENT_TYPE: &str = "application/x-ndjson";
 
-/// Passes a backend server's result into an attempt's answer.
+/// Copies a backend server's result to an attempt's answer.
 #[derive(Debug)]
 pub(super) struct Relay<'a> {
     job: &'a Job,
@@ -29,17 +29,17 @@
     length_bytes: u64,
     token_count: TokenCount,
     is_too_large: bool,
-    /// The whole result, where it goes into the table as well.
+    /// The whole result of a claimed call, which is also stored in the table.
     result: BytesMut,
 }
 
-/// A result that has been passed on whole.
+/// A result that was copied completely.
 #[derive(Debug)]
 pub(super) struct Relayed {
     pub(super) outcome: Outcome,
     /// The whole result of a claimed call; empty for others.
     pub(super) result: Bytes,
-    /// The connection, ready for another call.
+    /// The connection, for reuse.
     pub(super) sender: Option<Sender>,
 }
 
@@ -57,16 +57,16 @@
 
     pub(super) async fn run(mut self, reply: BackendReply) -> Result<Relayed, CallError> {
         let BackendReply { response, sender } = reply;
-        if is_not_run(&response) {
+        if states_not_run(&response) {
             return Ok(Relayed {
-                outcome: refused(&response),
+                outcome: refusal_outcome(&response),
                 result: Bytes::new(),
                 sender: None,
             });
         }
         let (head, mut body) = response.into_parts();
         while let Some(frame) = body.frame().await {
-            let frame = frame.map_err(|error| CallError::Broke(error.to_string()))?;
+            let frame = frame.map_err(|error| CallError::ConnectionLost(error.to_string()))?;
             if let Ok(data) = frame.into_data() {
                 self.take(&data)?;
             }
@@ -93,8 +93,8 @@
         Ok(())
     }
 
-    /// Breaks off repeatable work; a call that may not be repeated is read to its end unseen,
-    /// since dropping its connection might cut it off half-way.
+    /// Fails repeatable work; the result of a call that may not be repeated is read to its end and
+    /// discarded, since closing the connection could abort the call half-way.
     fn overflow(&mut self) -> Result<(), CallError> {
         if self.job.is_repeatable() {
             return Err(CallError::TooLarge);
@@ -114,7 +114,7 @@
         outcome.backend_status = status.as_u16();
         outcome.length_bytes = self.length_bytes;
         outcome.digest = ResultDigest::from_bytes(self.hasher.finalize().into());
-        outcome.cost.tokens = number(headers, TOKENS).unwrap_or_else(|| {
+        outcome.cost.tokens = header_number(headers, TOKENS).unwrap_or_else(|| {
             if is_stream(headers) {
                 self.token_count.tokens()
             } else {
@@ -129,20 +129,20 @@
     }
 }
 
-/// Whether the backend server says that it did not run the call.
-fn is_not_run(response: &Response<Incoming>) -> bool {
+/// Whether the backend server states that it did not run the call.
+fn states_not_run(response: &Response<Incoming>) -> bool {
     let is_refusal = matches!(
         response.status(),
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE
     );
-    let says_so = response.headers().get(NOT_RUN);
-    is_refusal && says_so.is_some_and(|value| value == "1")
+    let not_run = response.headers().get(NOT_RUN);
+    is_refusal && not_run.is_some_and(|value| value == "1")
 }
 
-fn refused(response: &Response<Incoming>) -> Outcome {
+fn refusal_outcome(response: &Response<Incoming>) -> Outcome {
     let mut outcome = Outcome::without_result(ResultCode::QueueFull);
     outcome.backend_status = response.status().as_u16();
-    let after_s = number(response.headers(), RETRY_AFTER.as_str());
+    let after_s = header_number(response.headers(), RETRY_AFTER.as_str());
     outcome.retry_after_ms = after_s.map(|after_s| after_s.saturating_mul(1000));
     outcome
 }
@@ -154,6 +154,6 @@
     content_type.is_some_and(|value| value.starts_with(STREAM_CONTENT_TYPE))
 }
 
-fn number(headers: &HeaderMap, name: &str) -> Option<u64> {
+fn header_number(headers: &HeaderMap, name: &str) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
--- a/crates/amaranthscale/src/sidecar/runner/run_guard.rs
+++ b/crates/amaranthscale/src/sidecar/runner/run_guard.rs
@@ -1,4 +1,4 @@
-//! Makes sure that the gate hears of every end.
+//! Guard that reports the end of every attempt to the scheduler.
 
 use std::sync::Arc;
 
@@ -7,55 +7,55 @@
 use log::warn;
 use ractor::ActorRef;
 
-use crate::sidecar::gate::GateMessage;
 use crate::sidecar::job::Job;
+use crate::sidecar::scheduler::SchedulerMessage;
 
-/// Tells the gate that an attempt has ended, even if its task panics.
+/// Reports the end of an attempt to the scheduler, even if its task panics.
 ///
-/// A task that went without a word would hold its slot and leave its entry waiting for good.
+/// Without the report the attempt would hold its slot forever and its entry would wait for the end.
 #[derive(Debug)]
 pub(super) struct RunGuard {
     job: Arc<Job>,
-    gate: ActorRef<GateMessage>,
+    scheduler: ActorRef<SchedulerMessage>,
     has_ended: bool,
 }
 
-/// Tells the gate that a claimed attempt's outcome is in the table.
+/// Reports to the scheduler that a claimed attempt's outcome is in the table.
 #[derive(Debug)]
-pub(super) struct Recorder {
+pub(super) struct RecordedNotifier {
     job: Arc<Job>,
-    gate: ActorRef<GateMessage>,
+    scheduler: ActorRef<SchedulerMessage>,
 }
 
 impl RunGuard {
-    pub(super) const fn new(job: Arc<Job>, gate: ActorRef<GateMessage>) -> Self {
+    pub(super) const fn new(job: Arc<Job>, scheduler: ActorRef<SchedulerMessage>) -> Self {
         Self {
             job,
-            gate,
+            scheduler,
             has_ended: false,
         }
     }
 
     /// Ends the attempt.
     pub(super) fn end(mut self, outcome: Outcome) {
-        self.tell(outcome);
+        self.send(outcome);
     }
 
-    /// Ends the attempt, whose outcome the gate keeps until it is recorded.
-    pub(super) fn end_unrecorded(mut self, outcome: Outcome) -> Recorder {
-        self.tell(outcome);
-        Recorder {
+    /// Ends the attempt; the scheduler retains its outcome until it is recorded.
+    pub(super) fn end_unrecorded(mut self, outcome: Outcome) -> RecordedNotifier {
+        self.send(outcome);
+        RecordedNotifier {
             job: Arc::clone(&self.job),
-            gate: self.gate.clone(),
+            scheduler: self.scheduler.clone(),
         }
     }
 
-    fn tell(&mut self, outcome: Outcome) {
+    fn send(&mut self, outcome: Outcome) {
         self.has_ended = true;
-        let message = GateMessage::Ended(Arc::clone(&self.job), Box::new(outcome));
-        if let Err(error) = self.gate.cast(message) {
+        let message = SchedulerMessage::Ended(Arc::clone(&self.job), Box::new(outcome));
+        if let Err(error) = self.scheduler.cast(message) {
             warn!(
-                "sidecar: end of {} not told: {error}",
+                "sidecar: cannot report the end of {}: {error}",
                 self.job.dispatch.attempt
             );
         }
@@ -65,18 +65,18 @@
 impl Drop for RunGuard {
     fn drop(&mut self) {
         if !self.has_ended {
-            self.tell(Outcome::without_result(ResultCode::OutcomeUnknown));
+            self.send(Outcome::without_result(ResultCode::OutcomeUnknown));
         }
     }
 }
 
-impl Recorder {
-    /// Lets the gate drop the outcome in its time.
-    pub(super) fn recorded(self) {
-        let message = GateMessage::Recorded(self.job.dispatch.attempt);
-        if let Err(error) = self.gate.cast(message) {
+impl RecordedNotifier {
+    /// Allows the scheduler to drop the outcome when its retention ends.
+    pub(super) fn notify(self) {
+        let message = SchedulerMessage::OutcomeRecorded(self.job.dispatch.attempt);
+        if let Err(error) = self.scheduler.cast(message) {
             warn!(
-                "sidecar: record of {} not told: {error}",
+                "sidecar: cannot report the stored outcome of {}: {error}",
                 self.job.dispatch.attempt
             );
         }
--- a/crates/amaranthscale/src/sidecar/gate/gate_state.rs
+++ b/crates/amaranthscale/src/sidecar/scheduler/scheduler_state.rs
@@ -1,4 +1,4 @@
-//! What the gate owns, and how each message changes it.
+//! State of the scheduler and its handling of messages.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,72 +12,73 @@
 use log::{debug, info, warn};
 use ractor::{ActorRef, RpcReplyPort};
 
-use super::kept_answers::KeptAnswers;
-use super::{Fetched, GateFigures, GateMessage};
+use super::retained_answers::RetainedAnswers;
+use super::{Fetched, SchedulerMessage, SchedulerStatus};
 use crate::sidecar::job::Job;
 use crate::sidecar::runner::Runner;
 
-/// A tick this late means that the process was paused.
+/// A tick that is this late means that the process was paused.
 const PAUSED_AFTER: Duration = Duration::from_secs(2);
-/// How long the answer of repeatable work outlives its deadline, for a fetch on its way.
+/// Time for which the answer of repeatable work is retained after its deadline, for a late fetch.
 const FETCH_GRACE: Duration = Duration::from_secs(1);
 
-/// What the gate owns.
+/// State of the scheduler.
 #[derive(Debug)]
-pub(in crate::sidecar) struct GateState {
-    myself: ActorRef<GateMessage>,
+pub(in crate::sidecar) struct SchedulerState {
+    myself: ActorRef<SchedulerMessage>,
     runner: Arc<Runner>,
     ledger: Ledger,
     queue: FairQueue,
-    answers: KeptAnswers,
+    answers: RetainedAnswers,
     costs: CostTracker,
     are_costs_changed: bool,
     meter: LoadMeter,
     leaving_since: Option<SidecarClock>,
     latest_tick: SidecarClock,
-    drained: Vec<RpcReplyPort<()>>,
+    drain_waiters: Vec<RpcReplyPort<()>>,
 }
 
-impl GateState {
-    pub(super) fn new(myself: ActorRef<GateMessage>, runner: Arc<Runner>) -> Self {
+impl SchedulerState {
+    pub(super) fn new(myself: ActorRef<SchedulerMessage>, runner: Arc<Runner>) -> Self {
         let limits = runner.limits;
-        let board = &runner.board;
-        let max_kept = usize::try_from(limits.max_kept_results.as_bytes()).unwrap_or(usize::MAX);
-        let now = board.now();
+        let shared = &runner.shared;
+        let max_retained_bytes =
+            usize::try_from(limits.max_retained_results.as_bytes()).unwrap_or(usize::MAX);
+        let now = shared.now();
         let state = Self {
             myself,
-            ledger: Ledger::new(board.incarnation, limits.ledger),
+            ledger: Ledger::new(shared.incarnation, limits.ledger),
             queue: FairQueue::new(limits.queue),
-            answers: KeptAnswers::new(max_kept),
-            costs: CostTracker::new(board.host.clone(), board.incarnation),
+            answers: RetainedAnswers::new(max_retained_bytes),
+            costs: CostTracker::new(shared.host.clone(), shared.incarnation),
             are_costs_changed: false,
             meter: LoadMeter::default(),
             leaving_since: None,
             latest_tick: now,
-            drained: Vec::new(),
+            drain_waiters: Vec::new(),
             runner,
         };
         state.publish_load(now);
         state
     }
 
-    pub(super) fn handle(&mut self, message: GateMessage) {
-        let now = self.runner.board.now();
+    pub(super) fn handle(&mut self, message: SchedulerMessage) {
+        let now = self.runner.shared.now();
         match message {
-            GateMessage::Dispatch(job) => self.dispatch(&job, now),
-            GateMessage::Ended(job, outcome) => self.ended(&job, *outcome, now),
-            GateMessage::Recorded(attempt) => self.answers.record(attempt),
-            GateMessage::Revoke(revoke, reply) => answer(reply, self.revoke(revoke, now)),
-            GateMessage::Fetch(fetch, reply) => answer(reply, self.fetch(&fetch)),
-            GateMessage::Leave => self.leave(now),
-            GateMessage::Tick => self.tick(now),
-            GateMessage::Drained(reply) => self.drained.push(reply),
-            GateMessage::Costs(reply) => answer(reply, self.costs()),
-            GateMessage::Figures(reply) => answer(reply, self.figures()),
+            SchedulerMessage::Dispatch(job) => self.dispatch(&job, now),
+            SchedulerMessage::Ended(job, outcome) => self.ended(&job, *outcome, now),
+            SchedulerMessage::OutcomeRecorded(attempt) => self.answers.record(attempt),
+            SchedulerMessage::Revoke(revoke, reply) => send_reply(reply, self.revoke(revoke, now)),
+            SchedulerMessage::Fetch(fetch, reply) => send_reply(reply, self.fetch(&fetch)),
+            SchedulerMessage::Leave => self.leave(now),
+            SchedulerMessage::Tick => self.tick(now),
+            SchedulerMessage::WaitDrained(reply) => self.drain_waiters.push(reply),
+            SchedulerMessage::CostRows(reply) => send_reply(reply, self.costs()),
+            SchedulerMessage::Status(reply) => send_reply(reply, self.status()),
         }
-        self.start_next(now);
+        self.start_queued(now);
         self.publish_load(now);
-        self.tell_drained();
+        self.notify_drained();
     }
 
     fn dispatch(&mut self, job: &Arc<Job>, now: SidecarClock) {
@@ -92,7 +93,7 @@
         if dispatch.service != self.runner.service {
             return Err(Refusal::new(ResultCode::WrongService, 0));
         }
-        if self.runner.board.is_leaving() {
+        if self.runner.shared.is_leaving() {
             return Err(Refusal::new(ResultCode::Leaving, 0));
         }
         self.ledger
@@ -118,8 +119,8 @@
         }
     }
 
-    /// Starts what has a free slot, and refuses what no longer can start.
-    fn start_next(&mut self, now: SidecarClock) {
+    /// Starts attempts for which slots are free, and refuses those that can no longer start.
+    fn start_queued(&mut self, now: SidecarClock) {
         for item in self.queue.take_displaced() {
             self.refuse_queued(item.attempt, ResultCode::TrialShed, now);
         }
@@ -132,15 +133,15 @@
     }
 
     fn start(&mut self, attempt: AttemptId, now: SidecarClock) {
-        // The ledger has the last word: after a pause of the process the queue may still hold what
-        // its entry has long given up, and starting that would run work nobody waits for.
+        // The ledger decides: after a pause of the process the queue may still contain attempts
+        // that their entries have abandoned, and starting those would be wasted work.
         if let Err(code) = self.ledger.start(attempt, now) {
             self.queue.release(attempt);
             self.refuse_queued(attempt, code, now);
             return;
         }
         let Some(job) = self.answers.get(&attempt).map(Arc::clone) else {
-            warn!("sidecar: {attempt} started without its job");
+            warn!("sidecar: no job found for {attempt}");
             return;
         };
         let waited = job.arrival.until(now);
@@ -174,13 +175,14 @@
             job.answer.end(outcome);
             return;
         }
-        self.measure(&outcome, now);
-        self.book(job, &outcome);
+        self.record_load(&outcome, now);
+        self.record_cost(job, &outcome);
         self.ledger.finish(attempt, outcome.clone(), now);
         job.answer.end(outcome);
-        let keep_until = self.keep_until(job, now);
-        self.answers.end(attempt, keep_until, !job.is_repeatable());
-        self.sweep_answers(now);
+        let retain_until = self.retain_until(job, now);
+        self.answers
+            .end(attempt, retain_until, !job.is_repeatable());
+        self.evict_answers(now);
     }
 
     fn count_end(&self, outcome: &Outcome) {
@@ -192,12 +194,12 @@
         }
     }
 
-    /// Takes in how long a call held the backend server.
+    /// Records how long a call occupied the backend server.
     ///
-    /// Guards against a server that fails at once: counted as served, its quick failures would make
-    /// it look fast, and the queue would take in what the next whole call cannot do in time. Only a
-    /// whole answer says how long the work takes; a call that ended early took at least so long.
-    fn measure(&mut self, outcome: &Outcome, now: SidecarClock) {
+    /// Only a complete answer shows how long the work takes; a call that ended early is a lower
+    /// bound. Otherwise the quick failures of a broken server would make it look fast, and the
+    /// queue would accept work that cannot end in time.
+    fn record_load(&mut self, outcome: &Outcome, now: SidecarClock) {
         let server_ms = outcome.cost.server_ms;
         if outcome.code == ResultCode::Complete {
             self.meter.record_service(server_ms, now);
@@ -206,7 +208,7 @@
         }
     }
 
-    fn book(&mut self, job: &Job, outcome: &Outcome) {
+    fn record_cost(&mut self, job: &Job, outcome: &Outcome) {
         let dispatch = &job.dispatch;
         let is_useful = outcome.code == ResultCode::Complete;
         let (organisation, service) = (&dispatch.organisation, dispatch.service.as_str());
@@ -215,14 +217,14 @@
         self.are_costs_changed = true;
     }
 
-    fn keep_until(&self, job: &Job, now: SidecarClock) -> SidecarClock {
+    fn retain_until(&self, job: &Job, now: SidecarClock) -> SidecarClock {
         if job.is_repeatable() {
             return job.deadline.plus(FETCH_GRACE);
         }
         now.plus(self.runner.limits.ledger.keep_finished)
     }
 
-    fn sweep_answers(&mut self, now: SidecarClock) {
+    fn evict_answers(&mut self, now: SidecarClock) {
         let evicted = self.answers.sweep(now);
         if evicted > 0 {
             let evicted = u64::try_from(evicted).unwrap_or(u64::MAX);
@@ -256,13 +258,14 @@
         let Some(job) = self.answers.get(&attempt) else {
             return;
         };
-        // A call that may not be repeated is never cut off: whether it took effect would be lost.
+        // A call that may not be repeated is never cancelled: it would be unknown whether it took
+        // effect.
         if job.is_repeatable() {
             job.cancel.notify_one();
         }
     }
 
-    /// Finds what is left of an answer; what is forgotten is never called "not run".
+    /// Looks up an answer; an evicted one is never reported as "not run".
     fn fetch(&self, fetch: &Fetch) -> Fetched {
         let is_ours = fetch.incarnation == self.ledger.incarnation();
         if is_ours && let Some(job) = self.answers.get(&fetch.attempt) {
@@ -282,7 +285,10 @@
 
     fn leave(&mut self, now: SidecarClock) {
         if self.leaving_since.is_none() {
-            info!("sidecar: leaving with {} queued", self.ledger.queued());
+            info!(
+                "sidecar: leaving with {} queued attempts",
+                self.ledger.queued()
+            );
             self.leaving_since = Some(now);
         }
     }
@@ -291,21 +297,21 @@
         if self.latest_tick.until(now) > PAUSED_AFTER {
             self.runner.counters.count("paused");
             warn!(
-                "sidecar: paused for {} ms",
+                "sidecar: process was paused for {} ms",
                 self.latest_tick.until(now).as_millis()
             );
         }
         self.latest_tick = now;
         self.refuse_queued_while_leaving(now);
         self.ledger.sweep(now);
-        self.sweep_answers(now);
+        self.evict_answers(now);
     }
 
-    /// Hands back what still waits once leaving has gone on for the grace.
+    /// Refuses queued attempts after the grace period of leaving.
     ///
-    /// Admitted attempts may start for that long, so that a short queue simply drains. The rest has
-    /// not run and is refused, so that its entries send it elsewhere in time: a backend server that
-    /// is leaving gets no new work after a few seconds, and no request is cut off.
+    /// Queued attempts may start until then, so that a short queue simply drains. The rest did not
+    /// run and is refused, so that its entries send it elsewhere in time: a leaving backend server
+    /// gets no new work after a few seconds, and no running request is aborted.
     fn refuse_queued_while_leaving(&mut self, now: SidecarClock) {
         let grace = self.runner.limits.leave_grace;
         if self
@@ -321,12 +327,12 @@
         }
     }
 
-    fn tell_drained(&mut self) {
+    fn notify_drained(&mut self) {
         if self.ledger.queued() + self.ledger.running() > 0 {
             return;
         }
-        for reply in self.drained.drain(..) {
-            answer(reply, ());
+        for reply in self.drain_waiters.drain(..) {
+            send_reply(reply, ());
         }
     }
 
@@ -338,8 +344,8 @@
         }
     }
 
-    fn figures(&self) -> GateFigures {
-        GateFigures {
+    fn status(&self) -> SchedulerStatus {
+        SchedulerStatus {
             queued: self.ledger.queued(),
             running: self.ledger.running(),
             ledger_entries: self.ledger.len(),
@@ -350,12 +356,12 @@
 
     fn publish_load(&self, now: SidecarClock) {
         let load = self.meter.report(&self.queue, now);
-        self.runner.board.set_load(load);
+        self.runner.shared.set_load(load);
     }
 }
 
-/// An asker that has gone away needs no answer.
-fn answer<T: Send + 'static>(reply: RpcReplyPort<T>, value: T) {
+/// Sends a reply; a receiver that was dropped is ignored.
+fn send_reply<T: Send + 'static>(reply: RpcReplyPort<T>, value: T) {
     let _ = reply.send(value);
 }
 
--- a/crates/amaranthscale/src/sidecar/gate/gate_figures.rs
+++ b/crates/amaranthscale/src/sidecar/scheduler/scheduler_status.rs
@@ -1,13 +1,13 @@
-//! Figures of the gate for `/status`.
+//! The scheduler's part of `/status`.
 
 use serde::Serialize;
 
-/// Figures of the gate for `/status`.
+/// The scheduler's part of `/status`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
-pub(in crate::sidecar) struct GateFigures {
-    /// Attempts that wait.
+pub(in crate::sidecar) struct SchedulerStatus {
+    /// Queued attempts.
     pub(in crate::sidecar) queued: usize,
-    /// Attempts at the backend server.
+    /// Attempts running at the backend server.
     pub(in crate::sidecar) running: usize,
     /// Attempts in the ledger.
     pub(in crate::sidecar) ledger_entries: usize,
--- a/crates/amaranthscale/src/sidecar/board.rs
+++ b/crates/amaranthscale/src/sidecar/shared_state.rs
@@ -1,4 +1,4 @@
-//! What a sidecar shows of itself, readable without asking its actor.
+//! State of a sidecar that is readable without a message to its actor.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -10,9 +10,9 @@
 
 use super::TreeSource;
 
-/// What a sidecar shows of itself.
+/// State of a sidecar that is readable without a message to its actor.
 #[derive(Debug)]
-pub(super) struct Board {
+pub(super) struct SharedState {
     pub(super) host: HostId,
     pub(super) incarnation: Incarnation,
     pub(super) tree: TreeSource,
@@ -21,7 +21,7 @@
     load: Mutex<LoadReport>,
 }
 
-impl Board {
+impl SharedState {
     pub(super) fn new(host: HostId, incarnation: Incarnation, tree: TreeSource) -> Self {
         Self {
             host,
@@ -33,12 +33,12 @@
         }
     }
 
-    /// The present reading of the sidecar's clock.
+    /// Current reading of the sidecar's clock.
     pub(super) fn now(&self) -> SidecarClock {
         SidecarClock::default().plus(self.started.elapsed())
     }
 
-    /// The point in the runtime's time of a reading.
+    /// The instant of a clock reading.
     pub(super) fn instant(&self, reading: SidecarClock) -> Instant {
         self.started + SidecarClock::default().until(reading)
     }
@@ -47,7 +47,7 @@
         self.is_leaving.load(Ordering::Acquire)
     }
 
-    /// Marks the backend server as leaving, and says whether that is new.
+    /// Marks the backend server as leaving; false if it was already.
     pub(super) fn leave(&self) -> bool {
         !self.is_leaving.swap(true, Ordering::AcqRel)
     }
--- a/crates/amaranthscale/src/sidecar/sidecar_config.rs
+++ b/crates/amaranthscale/src/sidecar/sidecar_config.rs
@@ -1,4 +1,4 @@
-//! Where a sidecar stands and whom it serves.
+//! Configuration of a sidecar.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,24 +10,24 @@
 use super::{OrderSettings, SidecarLimits};
 use crate::process::settings::SidecarSettings;
 
-/// Where a sidecar stands and whom it serves.
+/// Configuration of a sidecar.
 #[derive(Debug, Clone)]
 pub struct SidecarConfig {
     /// Host of the sidecar.
     pub host: HostId,
-    /// Service of the backend server beside it.
+    /// Service of its backend server.
     pub service: ServiceId,
-    /// Address to listen at; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
     /// Address of the backend server.
     pub backend: SocketAddr,
     /// Address of the platform.
     pub platform: SocketAddr,
-    /// Address for metrics, if they are sent.
+    /// Address that metrics are sent to, if any.
     pub statsd: Option<SocketAddr>,
-    /// Orders to the engine; none if the backend server takes none.
+    /// Settings of orders to the engine; none if the backend server accepts no orders.
     pub orders: Option<OrderSettings>,
-    /// Bounds.
+    /// Limits and timeouts.
     pub limits: SidecarLimits,
 }
 
@@ -66,7 +66,7 @@
             keep_finished: Duration::from_millis(settings.ledger.keep_finished_ms),
             ..LedgerLimits::default()
         },
-        drain_bound: Duration::from_millis(settings.drain_ms),
+        drain_timeout: Duration::from_millis(settings.drain_ms),
         ..SidecarLimits::default()
     }
 }
--- a/crates/amaranthscale/src/sidecar/sidecar_error.rs
+++ b/crates/amaranthscale/src/sidecar/sidecar_error.rs
@@ -1,4 +1,4 @@
-//! Why a sidecar did not start.
+//! Errors that prevent a sidecar from starting.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,23 +8,23 @@
 use crate::process::CountersError;
 
 quick_error! {
-    /// A sidecar that did not start.
+    /// Error that prevents a sidecar from starting.
     #[derive(Debug)]
     pub enum SidecarError {
-        /// The address cannot be listened at.
+        /// The address cannot be bound.
         Listen(address: SocketAddr, cause: io::Error) {
-            display("cannot listen at {address}: {cause}")
+            display("cannot listen on {address}: {cause}")
             source(cause)
         }
-        /// Metrics cannot be sent.
+        /// The statsd client cannot be created.
         Metrics(cause: CountersError) {
             display("{cause}")
             source(cause)
             from()
         }
-        /// The actor that owns the state did not start.
-        Gate(cause: ractor::SpawnErr) {
-            display("the gate did not start: {cause}")
+        /// The scheduler failed to start.
+        Scheduler(cause: ractor::SpawnErr) {
+            display("the scheduler failed to start: {cause}")
             source(cause)
             from()
         }
--- a/crates/amaranthscale/src/sidecar/sidecar_limits.rs
+++ b/crates/amaranthscale/src/sidecar/sidecar_limits.rs
@@ -1,4 +1,4 @@
-//! Bounds that a sidecar keeps.
+//! Limits and timeouts of a sidecar.
 
 use std::time::Duration;
 
@@ -8,57 +8,59 @@
 
 use crate::process::PlatformClientLimits;
 
-/// Attempts that a backend server takes at once, if its operator has not measured it.
+/// Attempts that a backend server runs in parallel, unless its operator has set another number.
 const SLOTS: u32 = 8;
-/// Attempts that may wait; more would wait longer than most deadlines.
+/// Maximum number of queued attempts; more would wait longer than most deadlines.
 const QUEUE_CAPACITY: usize = 256;
-/// Slots out of reach for trials.
+/// Slots reserved for paid work.
 const PAID_RESERVE_SLOTS: u32 = 2;
-/// Largest accepted input: a long case file with its history.
+/// Maximum size of an input; allows a long case file with its history.
 const MAX_INPUT: ByteSize = ByteSize::from_bytes(16 * 1024 * 1024);
-/// Largest result of one attempt. A frame holds at most 32 MiB.
+/// Maximum size of the result of one attempt. A frame is at most 32 MiB.
 const MAX_RESULT: ByteSize = ByteSize::from_bytes(16 * 1024 * 1024);
-/// Ended results kept for a fetch; beyond it the oldest go.
-const MAX_KEPT_RESULTS: ByteSize = ByteSize::from_bytes(256 * 1024 * 1024);
-/// Claimed attempts at once, from their claim until their outcome is in the table.
-const MAX_TABLE_JOBS: u32 = 1024;
-/// Longest wait for a claim before the call is refused.
-const CLAIM_PATIENCE: Duration = Duration::from_millis(1500);
-/// Longest call that may not be repeated; a silent backend server would hold its slot for good.
-const MAX_CALL: Duration = Duration::from_mins(10);
-/// How long attempts still start after leaving has begun; the platform wants "a few seconds".
+/// Total size of ended results retained for a fetch; beyond it the oldest are evicted.
+const MAX_RETAINED_RESULTS: ByteSize = ByteSize::from_bytes(256 * 1024 * 1024);
+/// Maximum number of claimed attempts, from their claim until their outcome is in the table.
+const MAX_UNSETTLED_CLAIMS: u32 = 1024;
+/// Timeout of a claim, after which the call is refused.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Timeout of a call that may not be repeated; otherwise an unresponsive backend server would hold
+/// its slot forever.
+const CALL_TIMEOUT: Duration = Duration::from_mins(10);
+/// Time for which queued attempts may start after leaving has begun; the platform allows "a few
+/// seconds".
 const LEAVE_GRACE: Duration = Duration::from_secs(2);
-/// Longest graceful stop.
-const DRAIN_BOUND: Duration = Duration::from_mins(2);
-/// Time between two writes of costs. A fleet of 660 sidecars then writes 66 times a second.
-const COST_INTERVAL: Duration = Duration::from_secs(10);
+/// Timeout of a graceful stop.
+const DRAIN_TIMEOUT: Duration = Duration::from_mins(2);
+/// Time between two writes of costs. 660 sidecars then write 66 times a second.
+const COST_WRITE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Bounds that a sidecar keeps.
+/// Limits and timeouts of a sidecar.
 #[derive(Debug, Clone, Copy)]
 pub struct SidecarLimits {
-    /// Sizes of the queue.
+    /// Limits of the queue.
     pub queue: FairQueueLimits,
-    /// Bounds on the attempt ledger.
+    /// Limits of the attempt ledger.
     pub ledger: LedgerLimits,
-    /// Largest accepted input.
+    /// Maximum size of an input.
     pub max_input: ByteSize,
-    /// Largest result of one attempt.
+    /// Maximum size of the result of one attempt.
     pub max_result: ByteSize,
-    /// Most bytes of ended results in memory.
-    pub max_kept_results: ByteSize,
-    /// Most claimed attempts whose rows are not yet settled.
-    pub max_table_jobs: u32,
-    /// Longest wait for a claim.
-    pub claim_patience: Duration,
-    /// Longest call that may not be repeated.
-    pub max_call: Duration,
-    /// How long queued attempts still start after leaving has begun.
+    /// Maximum total size of ended results in memory.
+    pub max_retained_results: ByteSize,
+    /// Maximum number of claimed attempts whose rows are not yet settled.
+    pub max_unsettled_claims: u32,
+    /// Timeout of a claim.
+    pub claim_timeout: Duration,
+    /// Timeout of a call that may not be repeated.
+    pub call_timeout: Duration,
+    /// Time for which queued attempts may start after leaving has begun.
     pub leave_grace: Duration,
-    /// Longest graceful stop.
-    pub drain_bound: Duration,
+    /// Timeout of a graceful stop.
+    pub drain_timeout: Duration,
     /// Time between two writes of costs.
-    pub cost_interval: Duration,
-    /// Bounds of calls to the platform.
+    pub cost_write_interval: Duration,
+    /// Limits of calls to the platform.
     pub platform: PlatformClientLimits,
 }
 
@@ -73,13 +75,13 @@
             ledger: LedgerLimits::default(),
             max_input: MAX_INPUT,
             max_result: MAX_RESULT,
-            max_kept_results: MAX_KEPT_RESULTS,
-            max_table_jobs: MAX_TABLE_JOBS,
-            claim_patience: CLAIM_PATIENCE,
-            max_call: MAX_CALL,
+            max_retained_results: MAX_RETAINED_RESULTS,
+            max_unsettled_claims: MAX_UNSETTLED_CLAIMS,
+            claim_timeout: CLAIM_TIMEOUT,
+            call_timeout: CALL_TIMEOUT,
             leave_grace: LEAVE_GRACE,
-            drain_bound: DRAIN_BOUND,
-            cost_interval: COST_INTERVAL,
+            drain_timeout: DRAIN_TIMEOUT,
+            cost_write_interval: COST_WRITE_INTERVAL,
             platform: PlatformClientLimits::default(),
         }
     }
--- a/crates/amaranthscale/src/sidecar/sidecar_with_tree.rs
+++ b/crates/amaranthscale/src/sidecar/sidecar_with_tree.rs
@@ -1,4 +1,4 @@
-//! A sidecar together with the keeper of its settings tree.
+//! A sidecar together with the actor that replicates its settings tree.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,11 +14,11 @@
 use crate::process::{ControlKind, ControlTraffic, poll_hosts};
 use crate::version::{TreeSyncArguments, TreeSyncHandle, TreeSyncSettings, exchange_peers};
 
-/// Time between two looks at the host list. A sidecar needs it only to find peers while the
-/// table is away, and 660 of them must not load the platform.
-const HOST_POLL: Duration = Duration::from_secs(30);
+/// Time between two reads of the host list. A sidecar needs it only to find peers while the table
+/// is unavailable, and 660 sidecars must not overload the platform.
+const HOST_POLL_INTERVAL: Duration = Duration::from_secs(30);
 
-/// A sidecar that keeps a settings tree.
+/// A sidecar that replicates the settings tree.
 #[derive(Debug)]
 pub struct SidecarWithTree {
     sidecar: Sidecar,
@@ -27,7 +27,7 @@
 }
 
 impl SidecarWithTree {
-    /// Starts a keeper, then the sidecar.
+    /// Starts the replication of the settings tree, then the sidecar.
     pub async fn start(
         config: SidecarConfig,
         settings: TreeSyncSettings,
@@ -36,7 +36,7 @@
         let platform = platform(&config, &counters);
         let traffic = ControlTraffic::new(Arc::clone(&counters));
         let peers = PeerClient::new(PeerClientLimits::default()).with_traffic(traffic);
-        let (found, peer_addresses) = watch::channel(Vec::new());
+        let (address_sender, peer_addresses) = watch::channel(Vec::new());
         let tree = TreeSyncHandle::start(TreeSyncArguments {
             host: config.host.clone(),
             settings,
@@ -48,12 +48,12 @@
         })
         .await?;
         let own_host = config.host.clone();
-        let sidecar = Sidecar::start_counting(config, source(&tree), counters).await?;
+        let sidecar = Sidecar::start_with_counters(config, tree_source(&tree), counters).await?;
         let host_watch = tokio::spawn(poll_hosts(
             platform.with_kind(ControlKind::HostList),
-            HOST_POLL,
+            HOST_POLL_INTERVAL,
             move |hosts| {
-                found.send_replace(entries(&own_host, &hosts));
+                address_sender.send_replace(entry_addresses(&own_host, &hosts));
             },
         ));
         Ok(Self {
@@ -69,18 +69,18 @@
         &self.sidecar
     }
 
-    /// The keeper of its settings tree.
+    /// Handle of its settings tree.
     #[must_use]
     pub const fn tree(&self) -> &TreeSyncHandle {
         &self.tree
     }
 
-    /// Completes when the sidecar can serve no more because of a fault of its own.
+    /// Completes when the sidecar's actor has stopped, after which it can serve no requests.
     pub async fn failed(&mut self) {
         self.sidecar.failed().await;
     }
 
-    /// Leaves, lets what runs end, and says whether all did within the bound.
+    /// Leaves, waits for running attempts and returns whether all ended within the timeout.
     pub async fn stop(self) -> bool {
         let is_drained = self.sidecar.stop().await;
         self.host_watch.abort();
@@ -89,16 +89,16 @@
     }
 }
 
-fn source(tree: &TreeSyncHandle) -> TreeSource {
-    let (since, version, heard) = (tree.clone(), tree.in_force(), tree.clone());
+fn tree_source(tree: &TreeSyncHandle) -> TreeSource {
+    let (sync, version, reporter) = (tree.clone(), tree.in_force(), tree.clone());
     TreeSource::new(
-        move |ask| since.since(ask.version),
+        move |request| sync.since(request.version),
         move || version.borrow().version(),
-        move |version| heard.report_version(version),
+        move |version| reporter.report_version(version),
     )
 }
 
-fn entries(own_host: &HostId, hosts: &HostList) -> Vec<SocketAddr> {
+fn entry_addresses(own_host: &HostId, hosts: &HostList) -> Vec<SocketAddr> {
     let entries = hosts.hosts.iter().filter(|record| record.service.is_none());
     exchange_peers(own_host, entries)
 }
--- a/crates/amaranthscale/src/sidecar/status.rs
+++ b/crates/amaranthscale/src/sidecar/status.rs
@@ -1,4 +1,4 @@
-//! What `/status` shows.
+//! Content of `/status`.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 use amaranthscale_core::wire::LoadReport;
 use serde::Serialize;
 
-use super::gate::GateFigures;
 use super::orders::EngineStatus;
+use super::scheduler::SchedulerStatus;
 
-/// What `/status` shows.
+/// Content of `/status`.
 #[derive(Debug, Serialize)]
 pub(super) struct Status {
     pub(super) host: HostId,
@@ -19,8 +19,9 @@
     pub(super) is_leaving: bool,
     pub(super) clock_ms: u64,
     pub(super) load: LoadReport,
-    pub(super) gate: GateFigures,
-    /// None if the backend server takes no orders.
+    #[serde(rename = "gate")]
+    pub(super) scheduler: SchedulerStatus,
+    /// None if the backend server accepts no orders.
     pub(super) engine: Option<EngineStatus>,
     pub(super) unsettled_claims: usize,
     pub(super) counters: BTreeMap<String, u64>,
--- a/crates/amaranthscale/src/sidecar/tree_source.rs
+++ b/crates/amaranthscale/src/sidecar/tree_source.rs
@@ -1,4 +1,4 @@
-//! The settings tree, as far as a sidecar hands it on.
+//! Access to the settings tree that a sidecar shares with its peers.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,50 +6,50 @@
 use amaranthscale_core::id::TreeVersion;
 use amaranthscale_core::wire::{TreeReply, TreeRequest};
 
-type Since = dyn Fn(&TreeRequest) -> TreeReply + Send + Sync;
+type ChangesSince = dyn Fn(&TreeRequest) -> TreeReply + Send + Sync;
 type Version = dyn Fn() -> TreeVersion + Send + Sync;
-type Heard = dyn Fn(TreeVersion) + Send + Sync;
+type ReportVersion = dyn Fn(TreeVersion) + Send + Sync;
 
-/// Answers for whatever keeps the settings tree in this process.
+/// Functions of the owner of the settings tree in this process.
 #[derive(Clone)]
 pub struct TreeSource {
-    since: Arc<Since>,
+    changes_since: Arc<ChangesSince>,
     version: Arc<Version>,
-    heard: Arc<Heard>,
+    report_version: Arc<ReportVersion>,
 }
 
 impl TreeSource {
-    /// A source made of three functions, each of which must return at once.
+    /// Creates a source from three functions, none of which may block.
     ///
-    /// `since` answers a peer that is behind, `version` tells the version at hand, and `heard` is
-    /// told each version that a peer shows.
+    /// `changes_since` answers a peer with an older tree, `version` returns the current version,
+    /// and `report_version` receives each version that a peer reports.
     pub fn new(
-        since: impl Fn(&TreeRequest) -> TreeReply + Send + Sync + 'static,
+        changes_since: impl Fn(&TreeRequest) -> TreeReply + Send + Sync + 'static,
         version: impl Fn() -> TreeVersion + Send + Sync + 'static,
-        heard: impl Fn(TreeVersion) + Send + Sync + 'static,
+        report_version: impl Fn(TreeVersion) + Send + Sync + 'static,
     ) -> Self {
         Self {
-            since: Arc::new(since),
+            changes_since: Arc::new(changes_since),
             version: Arc::new(version),
-            heard: Arc::new(heard),
+            report_version: Arc::new(report_version),
         }
     }
 
-    /// Answers a peer that asks for what it has not.
+    /// Answers a peer that asks for changes since its version.
     #[must_use]
-    pub fn since(&self, ask: &TreeRequest) -> TreeReply {
-        (self.since)(ask)
+    pub fn changes_since(&self, request: &TreeRequest) -> TreeReply {
+        (self.changes_since)(request)
     }
 
-    /// The version at hand.
+    /// The current version.
     #[must_use]
     pub fn version(&self) -> TreeVersion {
         (self.version)()
     }
 
-    /// Takes note of a version that a peer shows.
-    pub fn heard(&self, version: TreeVersion) {
-        (self.heard)(version);
+    /// Passes on a version that a peer reported.
+    pub fn report_version(&self, version: TreeVersion) {
+        (self.report_version)(version);
     }
 }
 
--- a/crates/amaranthscale/tests/sidecar_claims.rs
+++ b/crates/amaranthscale/tests/sidecar_claims.rs
@@ -144,7 +144,7 @@
 /// anything is written, so that the sidecar does not run out of memory.
 #[tokio::test]
 async fn unsettled_claims_are_bounded() {
-    let bench = bench_with(|config| config.limits.max_table_jobs = 1).await;
+    let bench = bench_with(|config| config.limits.max_unsettled_claims = 1).await;
     bench.table.hold(usize::MAX);
     let (first, second) = (bench.claimed(1, "/echo"), bench.claimed(2, "/echo"));
     let first_request = first.attempt.request.to_string();
--- a/crates/amaranthscale/tests/sidecar_flow.rs
+++ b/crates/amaranthscale/tests/sidecar_flow.rs
@@ -222,7 +222,7 @@
 #[tokio::test]
 async fn writes_costs_as_totals_of_its_life() {
     let bench = bench_with(|config| {
-        config.limits.cost_interval = Duration::from_millis(10);
+        config.limits.cost_write_interval = Duration::from_millis(10);
     })
     .await;
 
@@ -290,7 +290,7 @@
 
     assert_eq!(config.service.as_str(), "scalehouse");
     assert_eq!(config.limits.queue.slots, 3);
-    assert_eq!(config.limits.drain_bound, Duration::from_millis(1500));
+    assert_eq!(config.limits.drain_timeout, Duration::from_millis(1500));
 }
 
 #[tokio::test]
--- a/crates/amaranthscale/tests/sidecar_stopping.rs
+++ b/crates/amaranthscale/tests/sidecar_stopping.rs
@@ -188,7 +188,7 @@
 /// The stop does not hang with it: at its bound it says that work was left.
 #[tokio::test]
 async fn stop_ends_at_its_bound() {
-    let bench = bench_with(|config| config.limits.drain_bound = Duration::from_millis(50)).await;
+    let bench = bench_with(|config| config.limits.drain_timeout = Duration::from_millis(50)).await;
     let dispatch = bench.attempt(1, "/held");
     let _frames = start_held(&bench, &dispatch).await;
     let Bench { sidecar, .. } = bench;
--- a/crates/amaranthscale/tests/support/fixture.rs
+++ b/crates/amaranthscale/tests/support/fixture.rs
@@ -93,7 +93,7 @@
             capacity: 8,
             paid_reserve_slots: 0,
         },
-        claim_patience: Duration::from_millis(400),
+        claim_timeout: Duration::from_millis(400),
         platform: PlatformClientLimits {
             timeout: Duration::from_millis(150),
         },
