--- a/crates/amaranthscale/src/operator.rs
+++ b/crates/amaranthscale/src/operator.rs
@@ -1,6 +1,7 @@
-//! What operators and entries say to each other.
+//! Messages of the operator interface, and the client side of it.
 //!
-//! Bodies are JSON over HTTP; every call carries `Authorization: Bearer` with the operators' key.
+//! Bodies are JSON over HTTP; every call has an `Authorization: Bearer` header with the operators'
+//! key.
 //!
 //! | call | answer |
 //! |---|---|
@@ -10,7 +11,7 @@
 //! | `GET /v1/operator/status` | the entry's `/status` |
 //! | `GET /v1/operator/cost` | a list of [`CostLine`](crate::entry::process::CostLine) |
 //!
-//! [`ctl`] is the operators' side of it, the program `amaranthctl`.
+//! [`ctl`] is the client, the program `amaranthctl`, and [`explain`] evaluates log files.
 
 pub mod ctl;
 pub mod explain;
@@ -29,9 +30,9 @@
 #[doc(inline)]
 pub use refusal::Refusal;
 
-/// Path of the whole tree.
+/// Path of the settings tree.
 pub const TREE_PATH: &str = "/v1/operator/tree";
-/// Path of the edits; the query `since=V` leaves out those up to version V.
+/// Path of the edits; the query `since=V` skips those up to version V.
 pub const EDITS_PATH: &str = "/v1/operator/edits";
 /// Path of the status report.
 pub const STATUS_PATH: &str = "/v1/operator/status";
--- a/crates/amaranthscale/src/operator/ctl.rs
+++ b/crates/amaranthscale/src/operator/ctl.rs
@@ -1,7 +1,7 @@
-//! The operators' tool, `amaranthctl`.
+//! The command line tool of operators, `amaranthctl`.
 //!
-//! An edit is checked here on the tree just fetched, and then sent with that tree's version, so
-//! that an entry refuses it if another edit came in between.
+//! An edit is validated against the tree just fetched and then sent with that tree's version, so
+//! that an entry refuses it if another edit was made in between.
 
 mod arguments;
 mod command;
--- a/crates/amaranthscale/src/operator/ctl/arguments.rs
+++ b/crates/amaranthscale/src/operator/ctl/arguments.rs
@@ -1,4 +1,4 @@
-//! What the arguments of a command name: values, files and keys.
+//! Values, files and keys from the arguments of a command.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -9,11 +9,11 @@
 
 use super::{CtlError, EntryAddress, EntryClient};
 
-/// A required argument.
+/// Value of a required argument.
 ///
 /// # Panics
 ///
-/// Only if the command line does not require the argument, which is a bug.
+/// Panics if the argument is not declared as required, which is a bug.
 pub(super) fn required<T: Clone + Send + Sync + 'static>(matches: &ArgMatches, id: &str) -> T {
     let value = matches.get_one::<T>(id);
     value
@@ -21,7 +21,7 @@
         .unwrap_or_else(|| panic!("the command line requires {id}"))
 }
 
-/// The client of the entry that the options name.
+/// Client of the entry given by the options.
 pub(super) fn client(matches: &ArgMatches) -> Result<EntryClient, CtlError> {
     let entry = matches.get_one::<EntryAddress>("entry").copied();
     let entry = entry.ok_or(CtlError::MissingOption("--entry", "10.0.0.1:8080"))?;
@@ -33,7 +33,7 @@
     Ok(EntryClient::new(entry, header))
 }
 
-/// The name under which an edit is recorded.
+/// Name under which an edit is recorded.
 pub(super) fn editor(matches: &ArgMatches) -> String {
     let given = matches.get_one::<String>("by").cloned();
     let from_login = || std::env::var("USER").ok();
@@ -41,7 +41,7 @@
     given.or_else(from_login).unwrap_or_else(unnamed)
 }
 
-/// The key in the first line of a file.
+/// Reads the key in the first line of a file.
 pub(super) fn read_key(path: &Path) -> Result<String, CtlError> {
     let text = read_text(path)?;
     let key = text.lines().next().unwrap_or_default().trim();
@@ -53,19 +53,19 @@
     }
 }
 
-/// The text of a file.
+/// Reads a file as text.
 pub(super) fn read_text(path: &Path) -> Result<String, CtlError> {
     fs::read_to_string(path).map_err(|cause| CtlError::File(path.to_owned(), cause))
 }
 
-/// A value that a file holds as JSON.
+/// Reads a file as JSON.
 pub(super) fn read_json<T: DeserializeOwned>(
     path: &Path,
-    wanted: &'static str,
+    expected: &'static str,
 ) -> Result<T, CtlError> {
     let text = read_text(path)?;
     let content = |cause: serde_json::Error| {
-        CtlError::FileContent(path.to_owned(), wanted, cause.to_string())
+        CtlError::FileContent(path.to_owned(), expected, cause.to_string())
     };
     serde_json::from_str(&text).map_err(content)
 }
--- a/crates/amaranthscale/src/operator/ctl/config_check.rs
+++ b/crates/amaranthscale/src/operator/ctl/config_check.rs
@@ -1,4 +1,4 @@
-//! The check of a settings file.
+//! The command `config check`.
 
 use std::path::PathBuf;
 
@@ -8,7 +8,7 @@
 use super::arguments::{read_text, required};
 use crate::process::settings::{EntrySettings, SidecarSettings};
 
-/// Checks a settings file, and says that it holds.
+/// Checks a settings file and returns the text to print if it is valid.
 pub(super) fn check(matches: &ArgMatches) -> Result<String, CtlError> {
     let path: PathBuf = required(matches, "file");
     let kind: String = required(matches, "kind");
--- a/crates/amaranthscale/src/operator/ctl/ctl_error.rs
+++ b/crates/amaranthscale/src/operator/ctl/ctl_error.rs
@@ -1,4 +1,4 @@
-//! Why a command did not do what was asked.
+//! Errors of commands.
 
 use std::io;
 use std::path::PathBuf;
@@ -13,43 +13,43 @@
 use crate::process::settings::SettingsError;
 
 quick_error! {
-    /// A command that did not do what was asked.
+    /// Error of a command.
     #[derive(Debug)]
     pub enum CtlError {
-        /// An option that the command needs.
+        /// A required option is missing.
         MissingOption(option: &'static str, example: &'static str) {
             display("{option} is missing: give it, such as {option} {example}")
         }
-        /// A file that cannot be read or written.
+        /// A file cannot be read or written.
         File(path: PathBuf, cause: io::Error) {
             display("file {path:?} cannot be used: {cause}")
             source(cause)
         }
-        /// A file that does not hold what the command needs.
-        FileContent(path: PathBuf, wanted: &'static str, cause: String) {
-            display("file {path:?} holds no {wanted}: {cause}")
+        /// A file does not contain what the command needs.
+        FileContent(path: PathBuf, expected: &'static str, cause: String) {
+            display("file {path:?} holds no {expected}: {cause}")
         }
-        /// A file without a usable key.
+        /// A file does not contain a usable key.
         KeyFile(path: PathBuf) {
             display("file {path:?} holds no key: write the key alone, in printable ASCII, in its first line")
         }
-        /// Refused by the check on the tree just fetched.
+        /// The edit is not valid for the tree just fetched.
         Check(cause: TreeError) {
             display("{}: {cause}", cause.code().number())
             source(cause)
             from()
         }
-        /// A settings file that cannot be used.
+        /// A settings file is not valid.
         Settings(cause: SettingsError) {
             display("{cause}")
             source(cause)
             from()
         }
-        /// Refused by the entry.
+        /// The entry refused the call.
         Refused(refusal: Refusal) {
             display("{refusal}")
         }
-        /// Another edit came first.
+        /// Another edit was made first.
         Conflict(conflict: Box<EditConflict>) {
             display("{conflict}\nLook at tree show, and make the edit again if it still fits.")
         }
@@ -57,15 +57,15 @@
         StaleFile(conflict: Box<EditConflict>) {
             display("{conflict}\nExport the tree again and repeat your changes, or import with --overwrite to undo these edits.")
         }
-        /// The call did not reach the entry, or reading failed.
+        /// The entry cannot be reached, or reading its answer failed.
         Unreachable(entry: EntryAddress, cause: String) {
             display("entry {entry} cannot be reached: {cause}: try another entry")
         }
-        /// The entry answered with something else than it should.
+        /// The entry's answer cannot be parsed.
         Unreadable(entry: EntryAddress, status: u16, cause: String) {
             display("entry {entry} answered with status {status} and no readable body: {cause}: check the address")
         }
-        /// An edit was sent and its outcome could not be learned.
+        /// An edit was sent and its outcome is unknown.
         EditUnknown(entry: EntryAddress, cause: String) {
             display("{}: {cause}: look at tree history at another entry than {entry} before you make the edit again", ResultCode::EditUnknown)
         }
@@ -77,7 +77,7 @@
 }
 
 impl CtlError {
-    /// How the program ends with this error.
+    /// Exit status of the program for this error.
     #[must_use]
     pub fn exit_status(&self) -> ExitStatus {
         match self {
@@ -94,9 +94,9 @@
         }
     }
 
-    /// Whether an edit that met this error may have taken effect.
+    /// Whether an edit that failed with this error may have taken effect.
     #[must_use]
-    pub fn leaves_edit_open(&self) -> bool {
+    pub fn may_have_taken_effect(&self) -> bool {
         match self {
             Self::Unreachable(..) | Self::Unreadable(..) | Self::EditUnknown(..) => true,
             Self::Refused(refusal) => refusal.code == ResultCode::EditUnknown,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The numbered code, where the error has one.
+    /// Result code, if the error has one.
     #[must_use]
     pub fn code(&self) -> Option<ResultCode> {
         match self {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The error for scripts.
+    /// The error as JSON, for scripts.
     #[must_use]
     pub fn to_json(&self) -> Value {
         match self {
--- a/crates/amaranthscale/src/operator/ctl/edit_commands.rs
+++ b/crates/amaranthscale/src/operator/ctl/edit_commands.rs
@@ -1,4 +1,4 @@
-//! The edits that commands ask for.
+//! Edits requested by commands.
 
 use std::path::PathBuf;
 
@@ -9,19 +9,19 @@
 use super::CtlError;
 use super::arguments::{read_json, read_key, required};
 
-/// An edit that a command asks for.
+/// An edit requested by a command.
 #[derive(Debug)]
 pub(super) struct PlannedEdit {
-    /// What to change.
+    /// The change.
     pub(super) edit: TreeEdit,
-    /// Version that the edit was made from; none for the one in force.
-    pub(super) from_version: Option<TreeVersion>,
-    /// Key that was made here, to be printed once.
+    /// Version that the edit must be based on; `None` for the one in force.
+    pub(super) base_version: Option<TreeVersion>,
+    /// Generated key, which is printed once.
     pub(super) new_key: Option<String>,
 }
 
 impl PlannedEdit {
-    /// The edit of a command; none if the command only reads.
+    /// The edit of a command; `None` if the command only reads.
     pub(super) fn of(
         group: &str,
         name: &str,
@@ -69,27 +69,26 @@
             },
             _ => return Ok(None),
         };
-        Ok(Some(Self::on_tree_in_force(edit)))
+        Ok(Some(Self::on_current_tree(edit)))
     }
 
-    fn on_tree_in_force(edit: TreeEdit) -> Self {
+    fn on_current_tree(edit: TreeEdit) -> Self {
         Self {
             edit,
-            from_version: None,
+            base_version: None,
             new_key: None,
         }
     }
 }
 
-// Failure: an operator exports the tree, works on the file, and imports it an hour later; the
-// edits that others made meanwhile vanish, though they were accepted. Guard: the file carries
-// the version of its export, and unless --overwrite is given only that version is replaced.
+// An import must not undo accepted edits that others made after the file was exported. The file
+// contains the version of its export, and without --overwrite only that version is replaced.
 fn import(matches: &ArgMatches) -> Result<PlannedEdit, CtlError> {
     let tree: SettingsTree = read_json(&required::<PathBuf>(matches, "file"), "tree")?;
-    let from_version = (!matches.get_flag("overwrite")).then_some(tree.version);
+    let base_version = (!matches.get_flag("overwrite")).then_some(tree.version);
     Ok(PlannedEdit {
-        from_version,
-        ..PlannedEdit::on_tree_in_force(TreeEdit::Import {
+        base_version,
+        ..PlannedEdit::on_current_tree(TreeEdit::Import {
             tree: Box::new(tree),
         })
     })
@@ -99,7 +98,7 @@
     let (key_hash, new_key) = caller_key(matches)?;
     Ok(PlannedEdit {
         new_key,
-        ..PlannedEdit::on_tree_in_force(TreeEdit::CreateOrganisation {
+        ..PlannedEdit::on_current_tree(TreeEdit::CreateOrganisation {
             id: required(matches, "organisation"),
             parent: required(matches, "parent"),
             class: matches.get_one("class").copied(),
@@ -112,14 +111,14 @@
     let (key_hash, new_key) = caller_key(matches)?;
     Ok(PlannedEdit {
         new_key,
-        ..PlannedEdit::on_tree_in_force(TreeEdit::SetKey {
+        ..PlannedEdit::on_current_tree(TreeEdit::SetKey {
             id: required(matches, "organisation"),
             key_hash,
         })
     })
 }
 
-/// The hash of the key in the named file, or of a new key together with that key.
+/// Hash of the key in the given file, or a newly generated key and its hash.
 fn caller_key(matches: &ArgMatches) -> Result<(KeyHash, Option<String>), CtlError> {
     if let Some(path) = matches.get_one::<PathBuf>("caller-key-file") {
         return Ok((KeyHash::of(read_key(path)?), None));
@@ -128,7 +127,7 @@
     Ok((KeyHash::of(&key), Some(key)))
 }
 
-/// A key of 256 random bits, which cannot be guessed.
+/// Generates a key of 256 random bits.
 fn new_key() -> String {
     let [high, low]: [u128; 2] = rand::random();
     format!("{high:032x}{low:032x}")
--- a/crates/amaranthscale/src/operator/ctl/entry_address.rs
+++ b/crates/amaranthscale/src/operator/ctl/entry_address.rs
@@ -1,4 +1,4 @@
-//! Where an entry listens.
+//! Address of an entry.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,17 +7,17 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// A text that is no address of an entry.
+    /// Error for a text that is not an entry's address.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum InvalidEntryAddress {
-        /// No IP address with a port.
+        /// The text is not an IP address with a port.
         Malformed(text: String) {
             display("entry {text:?} cannot be read: give an IP address with a port, such as 10.0.0.1:8080 or http://10.0.0.1:8080")
         }
     }
 }
 
-/// Address of an entry, reached by plain HTTP.
+/// Address of an entry, contacted over plain HTTP.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EntryAddress(SocketAddr);
 
--- a/crates/amaranthscale/src/operator/ctl/entry_client.rs
+++ b/crates/amaranthscale/src/operator/ctl/entry_client.rs
@@ -1,4 +1,4 @@
-//! Calls of an entry's operator interface.
+//! HTTP client of an entry's operator interface.
 
 use std::error::Error;
 use std::time::Duration;
@@ -23,12 +23,12 @@
     COST_PATH, EDITS_PATH, EditAccepted, EditConflict, EditRequest, Refusal, STATUS_PATH, TREE_PATH,
 };
 
-/// Longest wait for an answer; an edit takes one write of the table, which is slow in an outage.
+/// Timeout of a call; an edit needs one write of the table, which is slow during an outage.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
-/// Largest answer that is read. A tree of 1,300 organisations is well below a megabyte.
+/// Maximum size of an answer. A tree of 1,300 organisations is well below a megabyte.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// One entry as an operator reaches it.
+/// HTTP client of an entry's operator interface.
 #[derive(Debug, Clone)]
 pub struct EntryClient {
     entry: EntryAddress,
@@ -37,13 +37,13 @@
 }
 
 impl EntryClient {
-    /// Reaches an entry with the `Authorization` header of an operator.
+    /// Creates a client that sends this `Authorization` header.
     #[must_use]
     pub fn new(entry: EntryAddress, mut authorization: HeaderValue) -> Self {
         authorization.set_sensitive(true);
-        // Failure: a connection breaks after an edit has left, and the library sends it again;
-        // the second one meets the first as a conflict, and the operator is told a falsehood.
-        // Guard: the library sends nothing twice, and a lost answer is settled by reading.
+        // The library must not retry: if a connection is lost after an edit was sent, the repeated
+        // edit would conflict with the first, and the operator would see a false conflict. A lost
+        // answer is settled by reading the edits.
         let http = Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
             .build_http();
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The entry's address.
+    /// Address of the entry.
     #[must_use]
     pub const fn entry(&self) -> EntryAddress {
         self.entry
@@ -70,7 +70,7 @@
         self.get(&format!("{EDITS_PATH}?since={since}")).await
     }
 
-    /// Fetches the entry's state.
+    /// Fetches the entry's status report.
     pub async fn status(&self) -> Result<Value, CtlError> {
         self.get(STATUS_PATH).await
     }
@@ -84,29 +84,33 @@
     pub async fn post_edit(&self, request: &EditRequest) -> Result<EditAccepted, CtlError> {
         let (status, body) = self.call(Method::POST, EDITS_PATH, Some(request)).await?;
         if status == StatusCode::CONFLICT {
-            let conflict: EditConflict = self.read(status, &body)?;
+            let conflict: EditConflict = self.decode(status, &body)?;
             return Err(CtlError::Conflict(Box::new(conflict)));
         }
-        self.accept(status, &body)
+        self.decode_answer(status, &body)
     }
 
     async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, CtlError> {
         let (status, body) = self.call(Method::GET, path, None::<&()>).await?;
-        self.accept(status, &body)
+        self.decode_answer(status, &body)
     }
 
-    fn accept<T: DeserializeOwned>(&self, status: StatusCode, body: &[u8]) -> Result<T, CtlError> {
+    fn decode_answer<T: DeserializeOwned>(
+        &self,
+        status: StatusCode,
+        body: &[u8],
+    ) -> Result<T, CtlError> {
         match status {
-            StatusCode::OK => self.read(status, body),
+            StatusCode::OK => self.decode(status, body),
             StatusCode::UNAUTHORIZED => Err(CtlError::WrongKey(self.entry)),
             _ => {
-                let refusal: Refusal = self.read(status, body)?;
+                let refusal: Refusal = self.decode(status, body)?;
                 Err(CtlError::Refused(refusal))
             }
         }
     }
 
-    fn read<T: DeserializeOwned>(&self, status: StatusCode, body: &[u8]) -> Result<T, CtlError> {
+    fn decode<T: DeserializeOwned>(&self, status: StatusCode, body: &[u8]) -> Result<T, CtlError> {
         let unreadable = |cause: serde_json::Error| {
             CtlError::Unreadable(self.entry, status.as_u16(), cause.to_string())
         };
@@ -153,7 +157,7 @@
         Ok((status, body.to_bytes()))
     }
 
-    /// The call's failure with the causes behind it.
+    /// The error of a call, with its chain of causes.
     fn unreachable(&self, cause: &(dyn Error + 'static)) -> CtlError {
         let causes = std::iter::successors(Some(cause), |&cause| cause.source());
         let causes: Vec<_> = causes.map(ToString::to_string).collect();
--- a/crates/amaranthscale/src/operator/ctl/exit_status.rs
+++ b/crates/amaranthscale/src/operator/ctl/exit_status.rs
@@ -1,4 +1,4 @@
-//! How the program ends.
+//! Exit codes.
 
 use std::process::ExitCode;
 
@@ -6,13 +6,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ExitStatus {
-    /// Done.
+    /// Success.
     Done = 0,
-    /// Arguments or files that cannot be read.
+    /// Arguments or files are not valid.
     Usage = 2,
-    /// Refused by a check, here or at the entry.
+    /// Refused by a check in the program or at the entry.
     Refused = 3,
-    /// Another edit came first.
+    /// Another edit was made first.
     Conflict = 4,
     /// The entry cannot be reached, or its answer was lost.
     Unreachable = 5,
@@ -21,7 +21,7 @@
 }
 
 impl ExitStatus {
-    /// The number that the shell sees.
+    /// The exit code as a number.
     #[must_use]
     pub const fn number(self) -> u8 {
         self as u8
--- a/crates/amaranthscale/src/operator/ctl/explain_call.rs
+++ b/crates/amaranthscale/src/operator/ctl/explain_call.rs
@@ -1,4 +1,4 @@
-//! The story of one request, from log files.
+//! The command `explain`.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader, stdin};
@@ -8,31 +8,35 @@
 
 use super::CtlError;
 use super::arguments::required;
-use crate::operator::explain::{Story, Telling};
+use crate::operator::explain::{Explanation, RequestTrace};
 
-/// Tells what happened to a request.
+/// Reads log files and returns the explanation of a request.
 pub(super) fn explain(matches: &ArgMatches) -> Result<String, CtlError> {
     let call: String = required(matches, "call");
-    let mut story = Story::new(call);
+    let mut trace = RequestTrace::new(call);
     let files = matches.get_many::<PathBuf>("files").unwrap_or_default();
     if files.len() == 0 {
         let path = PathBuf::from("standard input");
-        take_lines(&mut story, stdin().lock(), &path)?;
+        add_lines(&mut trace, stdin().lock(), &path)?;
     }
     for path in files {
         let file = File::open(path).map_err(|cause| CtlError::File(path.clone(), cause))?;
-        take_lines(&mut story, BufReader::new(file), path)?;
+        add_lines(&mut trace, BufReader::new(file), path)?;
     }
-    let telling = story.tell();
+    let explanation = trace.explain();
     if matches.get_flag("json") {
-        // Texts and numbers always have a JSON form.
-        return Ok(serde_json::to_string_pretty(&telling).unwrap_or_default() + "\n");
+        // Serialising texts and numbers cannot fail.
+        return Ok(serde_json::to_string_pretty(&explanation).unwrap_or_default() + "\n");
     }
-    Ok(shown(&telling))
+    Ok(explanation_text(&explanation))
 }
 
-/// Lines are read as bytes: a damaged one must not end the reading.
-fn take_lines(story: &mut Story, mut input: impl BufRead, path: &Path) -> Result<(), CtlError> {
+/// Adds all lines of an input, read as bytes because a damaged line must not end the reading.
+fn add_lines(
+    trace: &mut RequestTrace,
+    mut input: impl BufRead,
+    path: &Path,
+) -> Result<(), CtlError> {
     let mut line = Vec::new();
     loop {
         line.clear();
@@ -42,26 +46,26 @@
         if count == 0 {
             return Ok(());
         }
-        story.take(&String::from_utf8_lossy(&line));
+        trace.add_line(&String::from_utf8_lossy(&line));
     }
 }
 
-fn shown(telling: &Telling) -> String {
-    let mut lines = vec![format!("request {}", telling.call)];
-    if telling.sentences.is_empty() {
+fn explanation_text(explanation: &Explanation) -> String {
+    let mut lines = vec![format!("request {}", explanation.call)];
+    if explanation.sentences.is_empty() {
         lines.push("  no line names it".to_owned());
     }
     lines.extend(
-        telling
+        explanation
             .sentences
             .iter()
             .map(|sentence| format!("  {sentence}")),
     );
-    lines.push(format!("cause: {}", telling.cause));
-    if telling.passed_over > 0 {
+    lines.push(format!("cause: {}", explanation.cause));
+    if explanation.passed_over > 0 {
         lines.push(format!(
             "{} lines were not log lines of ours",
-            telling.passed_over
+            explanation.passed_over
         ));
     }
     lines.join("\n") + "\n"
--- a/crates/amaranthscale/src/operator/ctl/program.rs
+++ b/crates/amaranthscale/src/operator/ctl/program.rs
@@ -1,4 +1,4 @@
-//! The program from its arguments to its exit code.
+//! Entry points of the program.
 
 use std::ffi::OsString;
 use std::io::{Write, stderr, stdout};
@@ -16,27 +16,27 @@
 use super::submit::submit;
 use super::{CtlError, EntryClient, ExitStatus, config_check, explain_call, render};
 
-/// Runs the program: prints to the terminal and returns how it ends.
+/// Runs the program: prints the result of a command and returns the exit status.
 ///
-/// Help and wrong usage end the process as clap does, with 0 and 2.
+/// For help and usage errors clap exits the process, with 0 and 2.
 pub async fn run_program(
     arguments: impl IntoIterator<Item = impl Into<OsString> + Clone>,
 ) -> ExitStatus {
     let matches = command().get_matches_from(arguments);
-    // A reader that has gone away, such as a pager, is no error of the command.
+    // A closed output, such as a pager that was quit, is not an error of the command.
     match run(&matches).await {
         Ok(text) => {
             let _ = stdout().write_all(text.as_bytes());
             ExitStatus::Done
         }
         Err(error) => {
-            let _ = writeln!(stderr(), "{}", shown(&matches, &error));
+            let _ = writeln!(stderr(), "{}", error_text(&matches, &error));
             error.exit_status()
         }
     }
 }
 
-/// Runs one command and returns what it prints.
+/// Runs one command and returns the text to print.
 pub async fn run(matches: &ArgMatches) -> Result<String, CtlError> {
     let Some((group, group_matches)) = matches.subcommand() else {
         return Ok(command().render_help().to_string());
@@ -51,12 +51,12 @@
     let planned = PlannedEdit::of(group, name, leaf)?;
     let client = client(leaf)?;
     match planned {
-        Some(planned) => edit(leaf, &client, &planned).await,
-        None => read(name, leaf, &client).await,
+        Some(planned) => run_edit(leaf, &client, &planned).await,
+        None => run_query(name, leaf, &client).await,
     }
 }
 
-async fn edit(
+async fn run_edit(
     matches: &ArgMatches,
     client: &EntryClient,
     planned: &PlannedEdit,
@@ -73,17 +73,21 @@
     Ok(format!("{edit}: version {version} is in force\n{key}"))
 }
 
-async fn read(name: &str, matches: &ArgMatches, client: &EntryClient) -> Result<String, CtlError> {
+async fn run_query(
+    name: &str,
+    matches: &ArgMatches,
+    client: &EntryClient,
+) -> Result<String, CtlError> {
     match name {
         "get" => get(matches, &client.tree().await?),
         "export" => Ok(as_json(&client.tree().await?)),
         "history" => {
             let since: TreeVersion = required(matches, "since");
             let edits = client.edits(since).await?;
-            Ok(printed(matches, &edits, |edits| render::history(edits)))
+            Ok(formatted(matches, &edits, |edits| render::history(edits)))
         }
-        "status" => Ok(printed(matches, &client.status().await?, render::status)),
-        "cost" => Ok(printed(matches, &client.cost().await?, |lines| {
+        "status" => Ok(formatted(matches, &client.status().await?, render::status)),
+        "cost" => Ok(formatted(matches, &client.cost().await?, |lines| {
             render::cost(lines)
         })),
         _ => show(matches, &client.tree().await?),
@@ -92,10 +96,10 @@
 
 fn show(matches: &ArgMatches, tree: &SettingsTree) -> Result<String, CtlError> {
     let Some(id) = matches.get_one::<OrganisationId>("effective") else {
-        return Ok(printed(matches, tree, render::tree));
+        return Ok(formatted(matches, tree, render::tree));
     };
     let effective = effective(tree, id)?;
-    Ok(printed(matches, &effective, render::effective))
+    Ok(formatted(matches, &effective, render::effective))
 }
 
 fn get(matches: &ArgMatches, tree: &SettingsTree) -> Result<String, CtlError> {
@@ -119,7 +123,7 @@
     String::from_utf8_lossy(&script).into_owned()
 }
 
-fn printed<T: Serialize>(matches: &ArgMatches, value: &T, text: impl Fn(&T) -> String) -> String {
+fn formatted<T: Serialize>(matches: &ArgMatches, value: &T, text: impl Fn(&T) -> String) -> String {
     if is_json(matches) {
         as_json(value)
     } else {
@@ -127,11 +131,11 @@
     }
 }
 
-/// The value as JSON with a line end.
+/// Serialises a value as indented JSON with a line end.
 ///
 /// # Panics
 ///
-/// Only if a message holds something that JSON cannot carry, which is a bug.
+/// Panics if a message cannot be represented as JSON, which is a bug.
 fn as_json(value: &impl Serialize) -> String {
     let text = serde_json::to_string_pretty(value);
     text.expect("messages hold only what JSON can carry") + "\n"
@@ -141,7 +145,7 @@
     matches.get_flag("json")
 }
 
-fn shown(matches: &ArgMatches, error: &CtlError) -> String {
+fn error_text(matches: &ArgMatches, error: &CtlError) -> String {
     if is_json(matches) {
         error.to_json().to_string()
     } else {
--- a/crates/amaranthscale/src/operator/ctl/render.rs
+++ b/crates/amaranthscale/src/operator/ctl/render.rs
@@ -1,4 +1,4 @@
-//! Reports and trees as a person reads them.
+//! Reports and trees as text.
 
 use std::fmt::Display;
 
@@ -12,28 +12,28 @@
 
 use crate::entry::process::CostLine;
 
-/// The organisations below one another, then pipelines and services.
+/// The tree of organisations, then pipelines, services and evacuated zones.
 pub(super) fn tree(tree: &SettingsTree) -> String {
-    let mut page = format!("version {}\n\norganisations\n", tree.version);
+    let mut output = format!("version {}\n\norganisations\n", tree.version);
     let is_root = |organisation: &Organisation| organisation.parent.is_none();
     for (id, organisation) in tree.organisations.iter().filter(|(_, o)| is_root(o)) {
-        branch(&mut page, tree, id, organisation, 1);
+        write_organisation(&mut output, tree, id, organisation, 1);
     }
-    page += "\npipelines\n";
+    output += "\npipelines\n";
     let pipelines = tree.pipelines.iter();
-    page.extend(pipelines.map(|(id, pipeline)| format!("  {id}: {}\n", stages(pipeline))));
-    page += "\nservices\n";
+    output.extend(pipelines.map(|(id, pipeline)| format!("  {id}: {}\n", stages(pipeline))));
+    output += "\nservices\n";
     let services = tree.services.iter();
-    page.extend(services.map(|(id, service)| format!("  {id}: {}\n", calls(service))));
+    output.extend(services.map(|(id, service)| format!("  {id}: {}\n", calls(service))));
     if !tree.evacuated_zones.is_empty() {
-        page += "\nevacuated availability zones\n";
+        output += "\nevacuated availability zones\n";
         let zones = tree.evacuated_zones.iter();
-        page.extend(zones.map(|zone| format!("  {zone}\n")));
+        output.extend(zones.map(|zone| format!("  {zone}\n")));
     }
-    page
+    output
 }
 
-/// The values in force for an organisation, and where each comes from.
+/// The values in force for an organisation, with the origin of each.
 pub(super) fn effective(effective: &EffectiveSettings) -> String {
     let suspended = &effective.is_suspended;
     let mut rows = vec![["field", "value", "from"].map(str::to_owned)];
@@ -46,7 +46,7 @@
     table(&rows)
 }
 
-/// One value in force, and where it comes from.
+/// One value in force, with its origin.
 pub(super) fn field(
     effective: &EffectiveSettings,
     field: OverrideField,
@@ -79,7 +79,7 @@
     edits.iter().map(line).collect()
 }
 
-/// The state of an entry, as it tells it.
+/// The status report of an entry.
 pub(super) fn status(report: &Value) -> String {
     format!("{report:#}\n")
 }
@@ -97,18 +97,18 @@
     table(&with_head(head, lines.iter().map(cost_row)))
 }
 
-fn branch(
-    page: &mut String,
+fn write_organisation(
+    output: &mut String,
     tree: &SettingsTree,
     id: &OrganisationId,
     organisation: &Organisation,
     depth: usize,
 ) {
     let own = own_values(organisation);
-    page.extend([format!("{:indent$}{id}{own}\n", "", indent = depth * 2)]);
+    output.extend([format!("{:indent$}{id}{own}\n", "", indent = depth * 2)]);
     let is_child = |child: &Organisation| child.parent.as_ref() == Some(id);
     for (child_id, child) in tree.organisations.iter().filter(|(_, o)| is_child(o)) {
-        branch(page, tree, child_id, child, depth + 1);
+        write_organisation(output, tree, child_id, child, depth + 1);
     }
 }
 
@@ -222,7 +222,7 @@
     std::iter::once(head).chain(rows).collect()
 }
 
-/// Rows with their columns aligned.
+/// Rows with aligned columns.
 fn table<const N: usize>(rows: &[[String; N]]) -> String {
     let width = |column: usize| {
         let widths = rows.iter().map(|row| row[column].chars().count());
--- a/crates/amaranthscale/src/operator/ctl/submit.rs
+++ b/crates/amaranthscale/src/operator/ctl/submit.rs
@@ -1,4 +1,4 @@
-//! How an edit is checked, sent and settled.
+//! Validates, sends and settles an edit.
 
 use amaranthscale_core::id::TreeVersion;
 
@@ -6,14 +6,14 @@
 use super::{CtlError, EntryClient};
 use crate::operator::{EditAccepted, EditConflict, EditRequest};
 
-/// Checks an edit on the tree in force, sends it, and learns whether it took effect.
+/// Validates an edit against the tree in force, sends it and determines whether it took effect.
 pub(super) async fn submit(
     client: &EntryClient,
     planned: &PlannedEdit,
     by: String,
 ) -> Result<EditAccepted, CtlError> {
     let tree = client.tree().await?;
-    if let Some(from) = planned.from_version.filter(|from| *from != tree.version) {
+    if let Some(from) = planned.base_version.filter(|from| *from != tree.version) {
         let others = client.edits(from).await?;
         let conflict = EditConflict::between(from, tree.version, others);
         return Err(CtlError::StaleFile(Box::new(conflict)));
@@ -25,15 +25,17 @@
         edit: planned.edit.clone(),
     };
     match client.post_edit(&request).await {
-        Err(error) if error.leaves_edit_open() => settle(client, &request, error).await,
+        Err(error) if error.may_have_taken_effect() => settle(client, &request, error).await,
         answer => answer,
     }
 }
 
-// Failure: the entry accepts an edit and dies before it answers, or a balancer in between gives
-// up and answers in its place; an operator who is told "not reached" makes the edit again, or believes that it is not in force. Guard: the edit after the
-// expected version tells. Ours: accepted. Another: ours can never be accepted any more. None
-// yet, or no answer: it may still take effect, and the operator is told so.
+// Settles an edit without an answer: the entry may have accepted it and failed before answering,
+// or a load balancer may have answered in its place after a timeout. Reported as "not reached", the
+// operator would make the edit again or believe that it is not in force. The edit after the
+// expected version decides: if it is this edit, it was accepted; if it is another one, this edit
+// can no longer be accepted; if there is none yet, or no answer, this edit may still take effect
+// and is reported as unknown.
 async fn settle(
     client: &EntryClient,
     request: &EditRequest,
--- a/crates/amaranthscale/src/operator/edit_accepted.rs
+++ b/crates/amaranthscale/src/operator/edit_accepted.rs
@@ -1,11 +1,11 @@
-//! The answer to an edit that is in force.
+//! The answer to an accepted edit.
 
 use amaranthscale_core::id::TreeVersion;
 use serde::{Deserialize, Serialize};
 
-/// Says that an edit is in force.
+/// The answer to an accepted edit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EditAccepted {
-    /// Version that the edit made.
+    /// Version that the edit created.
     pub version: TreeVersion,
 }
--- a/crates/amaranthscale/src/operator/edit_conflict.rs
+++ b/crates/amaranthscale/src/operator/edit_conflict.rs
@@ -1,4 +1,4 @@
-//! The answer to an edit that came second.
+//! The answer to an edit that conflicts with another one.
 
 use std::fmt;
 
@@ -7,23 +7,23 @@
 use amaranthscale_core::version::EditRecord;
 use serde::{Deserialize, Serialize};
 
-/// Says that another edit came first, and which.
+/// The answer to an edit of a version that is no longer in force.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EditConflict {
-    /// Numbered result.
+    /// Result code.
     pub code: ResultCode,
-    /// The result for a person.
+    /// Description of the code.
     pub text: String,
-    /// Version that the operator saw.
+    /// Version that the edit is based on.
     pub your_version: TreeVersion,
     /// Version in force.
     pub version_in_force: TreeVersion,
-    /// Edits between the two, as far as they are known.
+    /// Edits between the two versions, as far as they are known.
     pub other_edits: Vec<EditRecord>,
 }
 
 impl EditConflict {
-    /// A conflict between the version seen and the one in force.
+    /// Creates a conflict between an edit's base version and the version in force.
     #[must_use]
     pub fn between(
         your_version: TreeVersion,
--- a/crates/amaranthscale/src/operator/explain.rs
+++ b/crates/amaranthscale/src/operator/explain.rs
@@ -1,12 +1,12 @@
-//! What happened to one request, from the log lines of all machines.
+//! Explains what happened to one request, from the log lines of all hosts.
 //!
-//! Lines are taken as they stand in files, whatever was written before them: a time, a machine's
-//! name. Lines that are damaged, cut or foreign are passed over and counted.
+//! Lines may have any prefix, such as a time or a host name. Lines that are damaged, truncated or
+//! from other programs are skipped and counted.
 
 mod log_line;
-mod story;
+mod request_trace;
 
 #[doc(inline)]
 pub use log_line::LogLine;
 #[doc(inline)]
-pub use story::{Story, Telling};
+pub use request_trace::{Explanation, RequestTrace};
--- a/crates/amaranthscale/src/operator/explain/log_line.rs
+++ b/crates/amaranthscale/src/operator/explain/log_line.rs
@@ -4,26 +4,26 @@
 
 use serde::Serialize;
 
-/// Levels that a line may have; what stands before one was added by others.
+/// Levels that a line may have; any text before the level is a prefix.
 const LEVELS: [&str; 4] = ["ERROR", "WARN", "INFO", "DEBUG"];
 
-/// A log line taken apart.
+/// A parsed log line.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct LogLine {
-    /// What stands before the level, such as a time and a machine.
+    /// Prefix before the level, such as a time and a host.
     pub before: String,
-    /// The number that the line begins with, to order lines of several machines.
+    /// Number at the start of the line, by which lines of several hosts are ordered.
     pub at: f64,
-    /// Part of the program.
+    /// Part of the program that wrote the line.
     pub part: String,
-    /// What happened.
+    /// Name of the event.
     pub event: String,
     /// Fields by name.
     pub fields: BTreeMap<String, String>,
 }
 
 impl LogLine {
-    /// Takes a line apart; none if it is not one of ours.
+    /// Parses a line; `None` if it is not a structured log line of this system.
     ///
     /// # Examples
     ///
@@ -59,13 +59,13 @@
         })
     }
 
-    /// A field, or a dash.
+    /// Value of a field, or a dash if the line does not have it.
     #[must_use]
     pub fn field(&self, name: &str) -> &str {
         self.fields.get(name).map_or("-", String::as_str)
     }
 
-    /// A field that is a number.
+    /// Value of a numeric field.
     #[must_use]
     pub fn number(&self, name: &str) -> Option<u64> {
         self.fields.get(name)?.parse().ok()
@@ -82,7 +82,7 @@
     Some((&text[..start], text[start + length..].trim()))
 }
 
-/// Words, where a quoted value is one of them without its quotes; none if a quote is not closed.
+/// Splits at spaces and removes quotes; `None` if a quote is not closed.
 fn tokens(text: &str) -> Option<Vec<String>> {
     let mut tokens = Vec::new();
     let mut token = String::new();
--- a/crates/amaranthscale/src/operator/explain/story.rs
+++ b/crates/amaranthscale/src/operator/explain/request_trace.rs
@@ -1,4 +1,4 @@
-//! The lines of one request in order, and what decided it.
+//! Log lines of one request, and the explanation of its outcome.
 
 use std::collections::BTreeMap;
 
@@ -6,71 +6,72 @@
 
 use super::LogLine;
 
-/// Part of an aim from which one stage is named as the cause of a late answer.
+/// Share of the target latency from which a single stage is reported as the cause of a late answer.
 const MAIN_CAUSE_PERCENT: u64 = 30;
 
-/// Gateways that are named where many ended without a word.
-const MOST_LIVES: usize = 8;
+/// Maximum number of gateways listed as restarted without a stop.
+const MAX_LISTED_GATEWAYS: usize = 8;
 
-/// Collects the lines of one request.
+/// Collects the log lines of one request.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Story {
+pub struct RequestTrace {
     call: String,
     lines: Vec<LogLine>,
     passed_over: usize,
-    /// Starts and stops of gateways, as they stand in the files.
-    lives: Vec<LogLine>,
-    /// What gateways said of requests that crash servers.
+    /// Starts and stops of gateways, in the order of the files.
+    #[serde(rename = "lives")]
+    gateway_events: Vec<LogLine>,
+    /// Lines about requests that crash servers.
     quarantine: Vec<LogLine>,
 }
 
-/// A story told.
+/// Explanation of a request's outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Telling {
-    /// The caller's name of the send.
+pub struct Explanation {
+    /// The caller's id of the request.
     pub call: String,
-    /// What happened, one sentence a line.
+    /// What happened, one sentence per log line.
     pub sentences: Vec<String>,
-    /// What decided it.
+    /// Cause of the outcome.
     pub cause: String,
-    /// Lines that were no log lines of ours.
+    /// Number of skipped lines that are not log lines of this system.
     pub passed_over: usize,
 }
 
-impl Story {
-    /// A story without lines.
+impl RequestTrace {
+    /// Creates an empty trace of a request.
     #[must_use]
     pub fn new(call: impl Into<String>) -> Self {
         Self {
             call: call.into(),
             lines: Vec::new(),
             passed_over: 0,
-            lives: Vec::new(),
+            gateway_events: Vec::new(),
             quarantine: Vec::new(),
         }
     }
 
-    /// Takes a line of a file; other requests' lines are left out.
-    pub fn take(&mut self, text: &str) {
+    /// Adds a line of a log file; lines of other requests are ignored.
+    pub fn add_line(&mut self, text: &str) {
         if text.trim().is_empty() {
             return;
         }
         match LogLine::parse(text) {
             Some(line) if line.field("call") == self.call => self.lines.push(line),
-            Some(line) if line.part == "gateway" => self.lives.push(line),
+            Some(line) if line.part == "gateway" => self.gateway_events.push(line),
             Some(line) if line.part == "quarantine" => self.quarantine.push(line),
             Some(_) => {}
             None => self.passed_over += 1,
         }
     }
 
-    /// Tells the story in the order of time.
+    /// Explains the outcome from the collected lines, ordered by time.
     #[must_use]
-    pub fn tell(mut self) -> Telling {
+    pub fn explain(mut self) -> Explanation {
         self.lines.sort_by(|a, b| a.at.total_cmp(&b.at));
         let sentences = self.lines.iter();
         let sentences = sentences.map(|line| format!("{}  {}", line.before, sentence(line)));
-        Telling {
+        Explanation {
             sentences: sentences.collect(),
             cause: self.cause(),
             passed_over: self.passed_over,
@@ -94,13 +95,13 @@
             return cause_of_answer(answered);
         }
         match self.last("request", "caller left") {
-            Some(left) => self.cause_of_leaving(left),
+            Some(left) => self.cause_of_disconnect(left),
             None => self.cause_without_lines(),
         }
     }
 
-    /// A caller that left before an answer had begun, and what its request waited for until then.
-    fn cause_of_leaving(&self, left: &LogLine) -> String {
+    /// Cause for a caller that disconnected before the answer began: what its request waited for.
+    fn cause_of_disconnect(&self, left: &LogLine) -> String {
         let waited_for = if self.last("batches", "pieces made").is_some() {
             "an engine, after its pieces were made".to_owned()
         } else if let Some(lost) = self.last("batches", "owner lost") {
@@ -115,14 +116,14 @@
         )
     }
 
-    /// A request that no line names was a good plain one, or its gateway ended without a word.
+    /// Cause for a request without log lines: either served in time, or its gateway was killed.
     fn cause_without_lines(&self) -> String {
-        let unstopped = lives_without_a_stop(&self.lives);
+        let unstopped = gateways_without_stop(&self.gateway_events);
         if unstopped.is_empty() {
             return "No line tells how it ended: it was served in time, or its lines were dropped."
                 .to_owned();
         }
-        let (count, shown) = (unstopped.len(), unstopped.iter().take(MOST_LIVES));
+        let (count, shown) = (unstopped.len(), unstopped.iter().take(MAX_LISTED_GATEWAYS));
         let shown: Vec<_> = shown.map(String::as_str).collect();
         format!(
             "No line tells how it ended: it was served in time, or was open at a gateway that was \
@@ -133,8 +134,8 @@
 
     fn cause_of_refusal(&self, refused: &LogLine) -> String {
         let code = format!("{} {}", refused.field("code"), refused.field("reason"));
-        if let Some(held) = self.last("request", "held back") {
-            return self.cause_of_quarantine(&code, held.field("fingerprint"));
+        if let Some(quarantined) = self.last("request", "held back") {
+            return self.cause_of_quarantine(&code, quarantined.field("fingerprint"));
         }
         if let Some(pieces) = self.last("request", "pieces not made") {
             let reason = pieces.field("reason");
@@ -154,8 +155,10 @@
                     "Refused with {code}: it was withheld from server {server} ({end})."
                 );
             }
-            let seen = seen(send);
-            return format!("Ended with {code}: server {server} gave no answer ({end}){seen}.");
+            let load_at_choice = load_at_choice(send);
+            return format!(
+                "Ended with {code}: server {server} gave no answer ({end}){load_at_choice}."
+            );
         }
         match refused.field("reason") {
             "KnowledgeStale" => {
@@ -191,13 +194,14 @@
         }
     }
 
-    /// Which servers crashed under the same content, by the word of any gateway.
+    /// Cause for a quarantined request: the servers that crashed under the same content.
     fn cause_of_quarantine(&self, code: &str, fingerprint: &str) -> String {
-        let mut words = self.quarantine.iter().rev();
-        let held = words.find(|line| {
+        let mut lines = self.quarantine.iter().rev();
+        let quarantined = lines.find(|line| {
             line.event == "request held back" && line.field("fingerprint") == fingerprint
         });
-        let servers = held.map_or_else(String::new, |line| format!(": {}", line.field("servers")));
+        let servers =
+            quarantined.map_or_else(String::new, |line| format!(": {}", line.field("servers")));
         format!("Ended with {code}: servers crashed while they ran the same content{servers}.")
     }
 
@@ -258,22 +262,22 @@
     }
 }
 
-/// Machines whose gateway started again though its life before had not stopped, and when.
-fn lives_without_a_stop(lives: &[LogLine]) -> Vec<String> {
-    let mut lives: Vec<_> = lives.iter().collect();
-    lives.sort_by(|a, b| a.at.total_cmp(&b.at));
+/// Hosts whose gateway started again without having stopped, and the time of that start.
+fn gateways_without_stop(gateway_events: &[LogLine]) -> Vec<String> {
+    let mut gateway_events: Vec<_> = gateway_events.iter().collect();
+    gateway_events.sort_by(|a, b| a.at.total_cmp(&b.at));
     let mut open: BTreeMap<&str, bool> = BTreeMap::new();
     let mut unstopped = Vec::new();
-    for line in lives {
-        // A life's name is its machine's and a number of its own.
-        let machine = line.field("instance").rsplit_once('-');
-        let machine = machine.map_or("-", |(machine, _)| machine);
+    for line in gateway_events {
+        // The id of a gateway's incarnation is its host and a number.
+        let host = line.field("instance").rsplit_once('-');
+        let host = host.map_or("-", |(host, _)| host);
         match line.event.as_str() {
-            "started" if open.insert(machine, true) == Some(true) => {
-                unstopped.push(format!("{machine} by {}", line.at));
+            "started" if open.insert(host, true) == Some(true) => {
+                unstopped.push(format!("{host} by {}", line.at));
             }
             "stopped" => {
-                open.insert(machine, false);
+                open.insert(host, false);
             }
             _ => {}
         }
@@ -284,13 +288,13 @@
 fn cause_of_answer(answered: &LogLine) -> String {
     let (status, sends) = (answered.field("status"), answered.field("sends"));
     let (ms, aim_ms) = (answered.field("ms"), answered.field("aim_ms"));
-    let (server, seen) = (answered.field("server"), seen(answered));
+    let (server, load_at_choice) = (answered.field("server"), load_at_choice(answered));
     format!(
-        "Answered with {status} by {server} after {ms} ms (aim {aim_ms} ms) and {sends} sends{seen}."
+        "Answered with {status} by {server} after {ms} ms (aim {aim_ms} ms) and {sends} sends{load_at_choice}."
     )
 }
 
-/// Whether an end of a send says that nothing was sent, as the server might not be used.
+/// Whether the end of a send means that nothing was sent, because the server was not available.
 fn is_withheld(end: &str) -> bool {
     matches!(
         end,
@@ -298,16 +302,16 @@
     )
 }
 
-/// The load that a line's server was chosen by; nothing for lines without it.
-fn seen(line: &LogLine) -> String {
+/// Text for the load that the choice of the server was based on; empty for lines without it.
+fn load_at_choice(line: &LogLine) -> String {
     let Some(in_flight) = line.number("in_flight") else {
         return String::new();
     };
-    let told = match (line.number("told"), line.number("told_age_ms")) {
-        (Some(told), Some(age_ms)) => format!("it had told {told} {age_ms} ms before"),
+    let reported = match (line.number("told"), line.number("told_age_ms")) {
+        (Some(reported), Some(age_ms)) => format!("it had told {reported} {age_ms} ms before"),
         _ => "it had told nothing".to_owned(),
     };
-    format!("; chosen with {in_flight} of this gateway's requests there, {told}")
+    format!("; chosen with {in_flight} of this gateway's requests there, {reported}")
 }
 
 fn sentence(line: &LogLine) -> String {
@@ -330,14 +334,14 @@
             field("server"),
             field("end"),
             field("ms"),
-            seen(line)
+            load_at_choice(line)
         ),
         ("request", "answered") => format!(
             "answered by server {} with {} after {} ms{}",
             field("server"),
             field("status"),
             field("ms"),
-            seen(line)
+            load_at_choice(line)
         ),
         ("batches", "pieces made") => format!(
             "pieces made; ms waited and worked of each stage: {}",
@@ -356,7 +360,7 @@
             field("pieces_ms"),
             field("begun_ms"),
             field("ms"),
-            seen(line)
+            load_at_choice(line)
         ),
         ("batches", "job given up") => format!(
             "given up by the owner of the batches as {} after {} ms, with {} stages waiting",
--- a/crates/amaranthscale/src/operator/refusal.rs
+++ b/crates/amaranthscale/src/operator/refusal.rs
@@ -1,21 +1,21 @@
-//! The answer to a call that an entry refuses.
+//! The answer to a refused call.
 
 use std::fmt;
 
 use amaranthscale_core::ResultCode;
 use serde::{Deserialize, Serialize};
 
-/// Says why an operator's call is refused.
+/// The answer to a refused call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Numbered result.
+    /// Result code.
     pub code: ResultCode,
     /// What is wrong, with which value, and what to try.
     pub text: String,
 }
 
 impl Refusal {
-    /// A refusal with its own text.
+    /// Creates a refusal with its own text.
     #[must_use]
     pub fn new(code: ResultCode, text: impl Into<String>) -> Self {
         let text = text.into();
--- a/crates/amaranthscale/tests/ctl_commands.rs
+++ b/crates/amaranthscale/tests/ctl_commands.rs
@@ -26,25 +26,25 @@
 use tempfile::TempDir;
 use tokio::net::TcpListener;
 
-/// The key that the fake entry takes.
+/// The key that the fake entry accepts.
 const KEY: &str = "an-operator-key";
 
-/// What the fake entry does with the next edit.
+/// Fault of the fake entry at the next edit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
-    /// Another operator's edit comes first.
-    OtherFirst,
-    /// The edit takes effect and its answer is lost.
+    /// Another operator's edit is made first.
+    OtherEditFirst,
+    /// The edit takes effect, and its answer is lost.
     AnswerLost,
-    /// The edit does not arrive.
+    /// The edit is lost.
     EditLost,
-    /// The edit takes effect, and a balancer in between answers in the entry's place.
+    /// The edit takes effect, and a load balancer answers in the entry's place.
     BalancerAnswers,
-    /// The entry cannot learn whether the edit takes effect, and it does not.
+    /// The entry does not know whether the edit takes effect, and it does not.
     EntryUnsure,
-    /// Another operator's edit comes first, and the answer is lost.
-    OtherFirstAnswerLost,
+    /// Another operator's edit is made first, and the answer is lost.
+    OtherEditFirstAnswerLost,
 }
 
 #[derive(Debug)]
@@ -68,7 +68,10 @@
 
     fn edit(&mut self, request: EditRequest) -> Option<(ResultCode, serde_json::Value)> {
         let fault = std::mem::replace(&mut self.fault, Fault::None);
-        if matches!(fault, Fault::OtherFirst | Fault::OtherFirstAnswerLost) {
+        if matches!(
+            fault,
+            Fault::OtherEditFirst | Fault::OtherEditFirstAnswerLost
+        ) {
             let text = r#"{"kind":"set","id":"root","field":"weight","value":"9"}"#;
             self.accept(TreeEdit::from_json(text).unwrap(), "ana");
         }
@@ -77,7 +80,7 @@
             let others = self.log.edits_after(request.expected_version);
             let others = others.cloned().collect();
             let conflict = EditConflict::between(request.expected_version, version, others);
-            let is_lost = fault == Fault::OtherFirstAnswerLost;
+            let is_lost = fault == Fault::OtherEditFirstAnswerLost;
             return (!is_lost).then(|| (conflict.code, json!(conflict)));
         }
         if fault == Fault::EditLost {
@@ -116,7 +119,7 @@
         }
         (Method::POST, EDITS_PATH) => {
             let done = entry.edit(serde_json::from_slice(&body).unwrap());
-            // An error here closes the connection without an answer.
+            // An error closes the connection without an answer.
             done.ok_or_else(|| std::io::Error::other("the answer is lost"))?
         }
         (_, path) => panic!("the fake entry has no {path}"),
@@ -135,14 +138,14 @@
     }
 }
 
-/// A fake entry, and the files of its operator.
-struct Desk {
+/// A fake entry and a directory for the operator's files.
+struct Fixture {
     address: SocketAddr,
     entry: Arc<Mutex<FakeEntry>>,
     files: TempDir,
 }
 
-impl Desk {
+impl Fixture {
     async fn open() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -151,13 +154,13 @@
         let entry = Arc::new(Mutex::new(FakeEntry { log, fault }));
         tokio::spawn(serve(listener, Arc::clone(&entry)));
         let files = tempfile::tempdir().unwrap();
-        let desk = Self {
+        let fixture = Self {
             address,
             entry,
             files,
         };
-        desk.write("key", KEY);
-        desk
+        fixture.write("key", KEY);
+        fixture
     }
 
     fn write(&self, name: &str, text: &str) -> String {
@@ -166,7 +169,7 @@
         path.to_str().unwrap().to_owned()
     }
 
-    fn next_edit_meets(&self, fault: Fault) {
+    fn set_fault(&self, fault: Fault) {
         self.entry.lock().unwrap().fault = fault;
     }
 
@@ -174,7 +177,7 @@
         self.entry.lock().unwrap().log.version().get()
     }
 
-    async fn run(&self, words: &str) -> Result<String, CtlError> {
+    async fn run(&self, arguments: &str) -> Result<String, CtlError> {
         let key = self.files.path().join("key");
         let key = key.to_str().unwrap();
         let address = self.address.to_string();
@@ -187,24 +190,24 @@
             "--by",
             "ben",
         ];
-        let words = options.into_iter().chain(words.split(' '));
-        run(&command().try_get_matches_from(words).unwrap()).await
+        let arguments = options.into_iter().chain(arguments.split(' '));
+        run(&command().try_get_matches_from(arguments).unwrap()).await
     }
 }
 
 #[tokio::test]
-async fn edits_show_with_the_organisation_that_sets_them() {
-    let desk = Desk::open().await;
-    let created = desk
+async fn effective_values_show_the_organisation_that_sets_them() {
+    let fixture = Fixture::open().await;
+    let created = fixture
         .run("organisation create mill --parent root --class paid")
         .await
         .unwrap();
-    desk.run("tree set mill weight 4").await.unwrap();
+    fixture.run("tree set mill weight 4").await.unwrap();
 
-    let effective = desk.run("tree show --effective mill").await.unwrap();
-    let weight = desk.run("--json tree get mill weight").await.unwrap();
-    let history = desk.run("tree history --since 1").await.unwrap();
-    let tree = desk.run("tree show").await.unwrap();
+    let effective = fixture.run("tree show --effective mill").await.unwrap();
+    let weight = fixture.run("--json tree get mill weight").await.unwrap();
+    let history = fixture.run("tree history --since 1").await.unwrap();
+    let tree = fixture.run("tree show").await.unwrap();
 
     let row = |name: &str| {
         effective
@@ -219,28 +222,28 @@
     assert_eq!(history, "2 by ben: set weight of mill to 4\n");
     assert!(tree.contains("    mill class=paid weight=4\n"), "{tree}");
     let key = created.lines().last().unwrap().rsplit(' ').next().unwrap();
-    let log = desk.entry.lock().unwrap().log.clone();
+    let log = fixture.entry.lock().unwrap().log.clone();
     assert_eq!(log.current().caller(key).unwrap().0.as_str(), "mill");
 }
 
 #[tokio::test]
-async fn an_edit_that_does_not_hold_is_refused_before_it_is_sent() {
-    let desk = Desk::open().await;
+async fn invalid_edit_is_refused_before_it_is_sent() {
+    let fixture = Fixture::open().await;
 
-    let error = desk.run("tree set root weight 0").await.unwrap_err();
-    let unknown = desk.run("tree set nobody weight 2").await.unwrap_err();
+    let error = fixture.run("tree set root weight 0").await.unwrap_err();
+    let unknown = fixture.run("tree set nobody weight 2").await.unwrap_err();
 
     assert_eq!(error.exit_status(), ExitStatus::Refused);
     assert_eq!(unknown.code(), Some(ResultCode::NotFound));
-    assert_eq!(desk.version(), 0);
+    assert_eq!(fixture.version(), 0);
 }
 
 #[tokio::test]
-async fn a_conflict_shows_the_other_edit() {
-    let desk = Desk::open().await;
-    desk.next_edit_meets(Fault::OtherFirst);
+async fn conflict_shows_the_other_edit() {
+    let fixture = Fixture::open().await;
+    fixture.set_fault(Fault::OtherEditFirst);
 
-    let error = desk.run("tree set root weight 2").await.unwrap_err();
+    let error = fixture.run("tree set root weight 2").await.unwrap_err();
 
     assert_eq!(error.exit_status(), ExitStatus::Conflict);
     assert!(
@@ -250,25 +253,25 @@
         "{error}"
     );
     assert_eq!(error.to_json()["code"], 5001);
-    assert_eq!(desk.version(), 1);
+    assert_eq!(fixture.version(), 1);
 }
 
-/// An operator suspends a customer. The entry accepts the edit and dies before it answers. Told
-/// "not reached", the operator believes that the customer still runs. The cause: a lost answer
-/// says nothing about the edit.
+/// Guards against reporting "not reached" for an edit that took effect. It happens when the entry
+/// accepts the edit and fails before it answers; the operator who suspended an organisation would
+/// believe that it is not suspended.
 #[tokio::test]
-async fn a_lost_answer_is_settled_by_reading_the_edits() {
+async fn lost_answer_is_settled_by_reading_the_edits() {
     for (fault, status) in [
         (Fault::AnswerLost, None),
         (Fault::BalancerAnswers, None),
         (Fault::EntryUnsure, Some(ExitStatus::Unreachable)),
         (Fault::EditLost, Some(ExitStatus::Unreachable)),
-        (Fault::OtherFirstAnswerLost, Some(ExitStatus::Conflict)),
+        (Fault::OtherEditFirstAnswerLost, Some(ExitStatus::Conflict)),
     ] {
-        let desk = Desk::open().await;
-        desk.next_edit_meets(fault);
+        let fixture = Fixture::open().await;
+        fixture.set_fault(fault);
 
-        let result = desk.run("tree set root weight 2").await;
+        let result = fixture.run("tree set root weight 2").await;
 
         let found = result.as_ref().err().map(CtlError::exit_status);
         assert_eq!(found, status, "{fault:?}: {result:?}");
@@ -278,19 +281,23 @@
     }
 }
 
-/// One operator exports the tree and works on the file over lunch. Another suspends a customer
-/// meanwhile. The first imports the file, and the customer runs again. The cause: a whole tree
-/// replaces edits that its file has never seen.
+/// Guards against an import that undoes edits made after its file was exported, such as the
+/// suspension of an organisation by another operator. It happens because an import replaces the
+/// whole tree.
 #[tokio::test]
-async fn an_import_never_undoes_edits_that_its_file_has_not_seen() {
-    let desk = Desk::open().await;
-    let exported = desk.run("tree export").await.unwrap();
-    let file = desk.write("tree.json", &exported);
-    desk.run("tree set root weight 7").await.unwrap();
-
-    let stale = desk.run(&format!("tree import {file}")).await.unwrap_err();
-    let before = desk.version();
-    desk.run(&format!("tree import {file} --overwrite"))
+async fn import_does_not_undo_edits_made_after_the_export() {
+    let fixture = Fixture::open().await;
+    let exported = fixture.run("tree export").await.unwrap();
+    let file = fixture.write("tree.json", &exported);
+    fixture.run("tree set root weight 7").await.unwrap();
+
+    let stale = fixture
+        .run(&format!("tree import {file}"))
+        .await
+        .unwrap_err();
+    let before = fixture.version();
+    fixture
+        .run(&format!("tree import {file} --overwrite"))
         .await
         .unwrap();
 
@@ -299,16 +306,16 @@
         stale.to_string().contains("set weight of root to 7"),
         "{stale}"
     );
-    assert_eq!((before, desk.version()), (1, 2));
+    assert_eq!((before, fixture.version()), (1, 2));
 }
 
 #[tokio::test]
 async fn both_example_trees_can_be_imported() {
     for example in ["delta-basin", "cedarline"] {
-        let desk = Desk::open().await;
+        let fixture = Fixture::open().await;
         let directory = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples");
 
-        let imported = desk
+        let imported = fixture
             .run(&format!("tree import {directory}/{example}/tree.json"))
             .await;
 
@@ -320,20 +327,20 @@
 }
 
 #[tokio::test]
-async fn a_wrong_key_a_missing_entry_and_a_missing_option_end_differently() {
-    let desk = Desk::open().await;
-    desk.write("key", "another-key");
-    let wrong_key = desk.run("tree show").await.unwrap_err();
-    desk.write("key", "two\u{e9}");
-    let no_key = desk.run("tree show").await.unwrap_err();
+async fn wrong_key_missing_entry_and_missing_option_have_different_exit_statuses() {
+    let fixture = Fixture::open().await;
+    fixture.write("key", "another-key");
+    let wrong_key = fixture.run("tree show").await.unwrap_err();
+    fixture.write("key", "two\u{e9}");
+    let no_key = fixture.run("tree show").await.unwrap_err();
     let unused = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let nobody = Desk {
+    let closed = Fixture {
         address: unused.local_addr().unwrap(),
-        ..desk
+        ..fixture
     };
     drop(unused);
-    nobody.write("key", KEY);
-    let unreachable = nobody.run("tree show").await.unwrap_err();
+    closed.write("key", KEY);
+    let unreachable = closed.run("tree show").await.unwrap_err();
     let bare = command()
         .try_get_matches_from(["amaranthctl", "status"])
         .unwrap();
@@ -346,15 +353,15 @@
 }
 
 #[tokio::test]
-async fn settings_files_are_checked_and_completions_printed_without_an_entry() {
-    let desk = Desk::open().await;
-    let file = desk.write("entry.ini", "[entry]\nhost = e1\n[tree]\npoll_ms = soon\n");
+async fn config_check_and_completions_need_no_entry() {
+    let fixture = Fixture::open().await;
+    let file = fixture.write("entry.ini", "[entry]\nhost = e1\n[tree]\npoll_ms = soon\n");
 
-    let error = desk
+    let error = fixture
         .run(&format!("config check {file} --kind entry"))
         .await
         .unwrap_err();
-    let script = desk.run("completions bash").await.unwrap();
+    let script = fixture.run("completions bash").await.unwrap();
 
     assert_eq!(error.exit_status(), ExitStatus::Refused);
     assert!(error.to_string().contains(":4: [tree] poll_ms"), "{error}");
@@ -362,6 +369,6 @@
 }
 
 #[test]
-fn the_command_line_is_sound() {
+fn command_line_definition_is_valid() {
     command().debug_assert();
 }
--- a/crates/amaranthscale/tests/explain_request.rs
+++ b/crates/amaranthscale/tests/explain_request.rs
@@ -1,17 +1,17 @@
-//! The story of one request from the log lines of several machines.
+//! Explanations of requests from the log lines of several hosts.
 
-use amaranthscale::operator::explain::{LogLine, Story, Telling};
+use amaranthscale::operator::explain::{Explanation, LogLine, RequestTrace};
 
-fn told(call: &str, lines: &[&str]) -> Telling {
-    let mut story = Story::new(call);
+fn explain_lines(call: &str, lines: &[&str]) -> Explanation {
+    let mut trace = RequestTrace::new(call);
     for line in lines {
-        story.take(line);
+        trace.add_line(line);
     }
-    story.tell()
+    trace.explain()
 }
 
 #[test]
-fn a_line_is_found_behind_what_others_wrote_before_it() {
+fn line_with_a_prefix_is_parsed() {
     let line = "  29.9231 front-a-1 1700 INFO request: refused call=ab reason=\"no way\" ms=3";
 
     let line = LogLine::parse(line).unwrap();
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn foreign_damaged_and_cut_lines_are_passed_over_and_counted() {
-    let telling = told(
+fn foreign_damaged_and_truncated_lines_are_skipped_and_counted() {
+    let explanation = explain_lines(
         "ab",
         &[
             "GET / HTTP/1.1",
@@ -37,16 +37,20 @@
         ],
     );
 
-    assert_eq!(telling.passed_over, 4);
-    assert!(telling.sentences.is_empty());
-    assert!(telling.cause.contains("No line tells"), "{}", telling.cause);
+    assert_eq!(explanation.passed_over, 4);
+    assert!(explanation.sentences.is_empty());
+    assert!(
+        explanation.cause.contains("No line tells"),
+        "{}",
+        explanation.cause
+    );
 }
 
-/// A caller is refused though servers are there: the owner of the batches expects that the pieces
-/// cannot be made in time. Its line stands in another machine's file.
+/// A caller is refused although servers are available, because the batch owner expects that the
+/// pieces cannot be completed in time. The owner's line is in the log of another host.
 #[test]
-fn a_refusal_for_want_of_time_names_the_owners_reason() {
-    let telling = told(
+fn refusal_for_lack_of_time_names_the_batch_owners_reason() {
+    let explanation = explain_lines(
         "ab",
         &[
             "30 g1 INFO request: refused call=ab code=2101 reason=DeadlineUnreachable ran=no ms=4",
@@ -55,19 +59,26 @@
         ],
     );
 
-    assert!(telling.sentences[0].starts_with("28 g2"), "{telling:?}");
-    assert!(telling.cause.contains("2101"), "{}", telling.cause);
     assert!(
-        telling.cause.contains("88 stages waiting"),
+        explanation.sentences[0].starts_with("28 g2"),
+        "{explanation:?}"
+    );
+    assert!(explanation.cause.contains("2101"), "{}", explanation.cause);
+    assert!(
+        explanation.cause.contains("88 stages waiting"),
         "{}",
-        telling.cause
+        explanation.cause
+    );
+    assert!(
+        explanation.cause.contains("did not run"),
+        "{}",
+        explanation.cause
     );
-    assert!(telling.cause.contains("did not run"), "{}", telling.cause);
 }
 
 #[test]
-fn a_late_stream_names_the_stage_that_took_the_time() {
-    let telling = told(
+fn late_stream_names_the_slow_stage() {
+    let explanation = explain_lines(
         "ab",
         &[
             "31 g2 INFO batches: pieces made call=ab stages_waited_worked_ms=20+300,1500+410",
@@ -78,12 +89,12 @@
 
     let expected = "Late: begun after 2300 ms with an aim of 1900 ms; \
         stage 1 waited 1500 ms for a server and worked 410 ms.";
-    assert_eq!(telling.cause, expected);
+    assert_eq!(explanation.cause, expected);
 }
 
 #[test]
-fn a_late_stream_with_quick_stages_names_the_engine() {
-    let telling = told(
+fn late_stream_with_fast_stages_names_the_engine() {
+    let explanation = explain_lines(
         "ab",
         &[
             "33 g1 INFO stream: ended call=ab server=i-1 end=whole events=9 pieces_ms=300 \
@@ -92,16 +103,16 @@
     );
 
     assert!(
-        telling.cause.contains("the engine 2000 ms"),
+        explanation.cause.contains("the engine 2000 ms"),
         "{}",
-        telling.cause
+        explanation.cause
     );
 }
 
-/// A settlement was sent to a server that died: the caller was told that it may have run.
+/// A settlement was sent to a server that failed; its caller got the answer that it may have run.
 #[test]
-fn a_lost_answer_names_the_server() {
-    let telling = told(
+fn lost_answer_names_the_server() {
+    let explanation = explain_lines(
         "ab",
         &[
             "10 g1 INFO request: send without answer call=ab server=i-9 end=lost ms=31",
@@ -109,19 +120,19 @@
         ],
     );
 
-    assert_eq!(telling.sentences.len(), 2);
+    assert_eq!(explanation.sentences.len(), 2);
     assert!(
-        telling.cause.contains("i-9 gave no answer (lost)"),
+        explanation.cause.contains("i-9 gave no answer (lost)"),
         "{}",
-        telling.cause
+        explanation.cause
     );
 }
 
-/// A weight confirmation came late from a server that was full: the engineer asks why it went there.
-/// The gateway had one request at that server, and what the server had told was half a second old.
+/// An answer is late because its server was full. To explain the choice of the server, the cause
+/// shows the gateway's own count (one request) and the reported load, which was half a second old.
 #[test]
-fn the_load_that_a_server_was_chosen_by_is_told_with_its_age() {
-    let telling = told(
+fn answer_shows_the_load_behind_the_choice_and_its_age() {
+    let explanation = explain_lines(
         "ab",
         &[
             "9 g1 INFO request: answered call=ab route=r server=i-9 status=200 sends=1 in_flight=1 told=6 told_age_ms=480 aim_ms=100 ms=231",
@@ -129,18 +140,18 @@
     );
 
     assert!(
-        telling.cause.ends_with(
+        explanation.cause.ends_with(
             "chosen with 1 of this gateway's requests there, it had told 6 480 ms before."
         ),
         "{}",
-        telling.cause
+        explanation.cause
     );
 }
 
-/// A server that has told nothing yet is chosen by the gateway's own count alone.
+/// A server that has not reported its load is chosen by the gateway's own count alone.
 #[test]
-fn a_load_that_was_never_told_is_said_so() {
-    let telling = told(
+fn missing_load_report_is_shown() {
+    let explanation = explain_lines(
         "ab",
         &[
             "9 g1 INFO request: send without answer call=ab server=i-9 end=lost in_flight=0 told=- told_age_ms=- ms=31",
@@ -149,27 +160,30 @@
     );
 
     assert!(
-        telling.cause.contains("it had told nothing"),
+        explanation.cause.contains("it had told nothing"),
         "{}",
-        telling.cause
+        explanation.cause
     );
 }
 
 #[test]
-fn a_stream_that_its_engine_broke_off_says_so() {
-    let telling = told(
+fn stream_broken_by_its_engine_names_the_engine() {
+    let explanation = explain_lines(
         "ab",
         &["33 g1 INFO stream: ended call=ab server=i-1 end=broken events=4 begun_ms=200 ms=300"],
     );
 
-    assert_eq!(telling.cause, "Broken off by engine i-1 after 4 events.");
+    assert_eq!(
+        explanation.cause,
+        "Broken off by engine i-1 after 4 events."
+    );
 }
 
-/// A request was open when its gateway lost power, and no line names it. It was told to have been
-/// served in time, though the gateway started again without having stopped.
+/// Guards against explaining a request as served in time although its gateway lost power while the
+/// request was open. No line names such a request, but its gateway starts again without a stop.
 #[test]
-fn a_request_that_ended_with_its_gateway_is_not_told_as_served() {
-    let mut story = Story::new("c1");
+fn request_open_at_a_killed_gateway_is_not_explained_as_served() {
+    let mut trace = RequestTrace::new("c1");
     for line in [
         "1000 INFO gateway: started instance=front-1-aa zone=east",
         "1001 INFO gateway: started instance=front-2-bb zone=east",
@@ -177,10 +191,10 @@
         "6000 INFO gateway: started instance=front-2-cc zone=east",
         "7000 INFO gateway: started instance=front-1-dd zone=east",
     ] {
-        story.take(line);
+        trace.add_line(line);
     }
 
-    let cause = story.tell().cause;
+    let cause = trace.explain().cause;
 
     assert!(cause.contains("killed or lost power"), "{cause}");
     assert!(
@@ -190,18 +204,18 @@
     assert!(!cause.contains("front-2"), "{cause}");
 }
 
-/// A caller leaves without a word of an answer, beside a cut of other gateways. Its line stands there, and
-/// says how it ended; what it waited for is told by the others' lines.
+/// A caller disconnects before its answer begins, while other gateways are unreachable. Its own
+/// line shows how the request ended; lines of other gateways show what it waited for.
 #[test]
-fn a_caller_that_left_is_told_with_what_it_waited_for() {
-    let for_pieces = told(
+fn disconnected_caller_is_explained_with_what_its_request_waited_for() {
+    let for_pieces = explain_lines(
         "ab",
         &[
             "31 g1 INFO batches: owner lost call=ab owner=g2-17 reason=\"it fell silent\"",
             "34 g1 INFO request: caller left call=ab ms=4400",
         ],
     );
-    let for_an_engine = told(
+    let for_an_engine = explain_lines(
         "ab",
         &[
             "31 g2 INFO batches: pieces made call=ab stages_waited_worked_ms=4+268",
@@ -218,10 +232,11 @@
     );
 }
 
-/// Operators evacuate a zone between a choice and its send. Nothing was sent there, and the story says so.
+/// Operators evacuate a zone after one of its servers was chosen and before the send. Nothing was
+/// sent, and the explanation must say so.
 #[test]
-fn a_withheld_send_is_not_told_as_one_without_an_answer() {
-    let telling = told(
+fn withheld_send_is_not_explained_as_unanswered() {
+    let explanation = explain_lines(
         "ab",
         &[
             "30 g1 INFO request: send without answer call=ab server=i-7 end=evacuated ms=0",
@@ -229,15 +244,22 @@
         ],
     );
 
-    assert!(telling.sentences[0].contains("withheld"), "{telling:?}");
-    assert!(telling.cause.contains("2108"), "{}", telling.cause);
-    assert!(telling.cause.contains("evacuated"), "{}", telling.cause);
+    assert!(
+        explanation.sentences[0].contains("withheld"),
+        "{explanation:?}"
+    );
+    assert!(explanation.cause.contains("2108"), "{}", explanation.cause);
+    assert!(
+        explanation.cause.contains("evacuated"),
+        "{}",
+        explanation.cause
+    );
 }
 
-/// A caller asks why its request is refused: what crashed the servers was sent under other ids.
+/// A request is quarantined because the same content, sent under other ids, crashed servers.
 #[test]
-fn a_request_that_is_held_back_names_the_servers_that_crashed_under_it() {
-    let telling = told(
+fn quarantined_request_names_the_crashed_servers() {
+    let explanation = explain_lines(
         "ab",
         &[
             "10 g2 WARN quarantine: request held back fingerprint=f1 crashed=3 servers=s1,s2,s3",
@@ -247,6 +269,10 @@
         ],
     );
 
-    assert!(telling.cause.contains("2110"), "{}", telling.cause);
-    assert!(telling.cause.contains("s1,s2,s3"), "{}", telling.cause);
+    assert!(explanation.cause.contains("2110"), "{}", explanation.cause);
+    assert!(
+        explanation.cause.contains("s1,s2,s3"),
+        "{}",
+        explanation.cause
+    );
 }
