--- a/crates/amaranthscale/src/gateway.rs
+++ b/crates/amaranthscale/src/gateway.rs
@@ -1,12 +1,12 @@
 //! The entry for platforms whose backend servers are called directly.
 //!
-//! A gateway reads routing, backend servers and the other gateways from the platform's store and
-//! takes callers' requests by them. What the platform calls things and how it spells them comes in
-//! as a [`Dialect`] and [`StoreApi`]: names, formats and calls that decide nothing.
+//! A gateway reads the routing, the backend servers and the other gateways from the platform's
+//! store and serves callers accordingly. The platform's names, formats and store requests are
+//! supplied as a [`Dialect`] and a [`StoreApi`], which contain no decisions.
 //!
-//! A request's way: [`connection`] takes it off the wire, [`request`] looks up route and key,
-//! has its stages' pieces made by the gateway that owns the batches, sends it to one server and
-//! passes the answer on. [`version`] follows the store, [`process`] owns the batches.
+//! [`request`] looks up a request's route and key, has its stage results computed by the gateway
+//! that owns the batches, sends it to one server and forwards the answer. [`connection`] holds the
+//! connections to servers, [`version`] follows the store, and [`process`] owns the batches.
 
 pub mod connection;
 pub mod process;
--- a/crates/amaranthscale/src/gateway/clock.rs
+++ b/crates/amaranthscale/src/gateway/clock.rs
@@ -1,9 +1,9 @@
 //! The two clocks of a gateway.
 //!
-//! Decisions about waiting use the runtime's steady clock, which tests pause and advance. The age
-//! of what is known from the store is taken from a clock that also counts the time for which the
-//! machine was suspended: by the steady one, a machine that wakes after minutes would trust a key
-//! that was revoked meanwhile.
+//! Waits and timeouts use the runtime's monotonic clock, which tests pause and advance. The age of
+//! data from the store is measured by a clock that also counts time while the host was suspended:
+//! by the monotonic clock, a host that resumes after minutes would still accept a key that was
+//! revoked meanwhile.
 
 use std::time::Duration;
 
@@ -12,39 +12,39 @@
 
 pub(super) use crate::process::ms;
 
-/// The clocks that a gateway decides by.
+/// The clocks of a gateway.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     started: Instant,
-    awake_or_not: fn() -> Duration,
+    boot_clock: fn() -> Duration,
 }
 
 impl Clock {
-    /// Clocks of a running machine.
+    /// Creates the clocks; `boot_clock` also counts time while the host is suspended.
     #[must_use]
-    pub fn new(awake_or_not: fn() -> Duration) -> Self {
+    pub fn new(boot_clock: fn() -> Duration) -> Self {
         Self {
             started: Instant::now(),
-            awake_or_not,
+            boot_clock,
         }
     }
 
-    /// Steady time since the start.
+    /// Monotonic time since the start of the process.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Time that goes on while the machine is suspended.
+    /// Time of the clock that also counts while the host is suspended.
     #[must_use]
-    pub fn with_suspension(&self) -> Duration {
-        (self.awake_or_not)()
+    pub fn now_with_suspend(&self) -> Duration {
+        (self.boot_clock)()
     }
 }
 
-/// The machine's time since it was booted, suspension included.
+/// Time since the host was booted, including time while it was suspended.
 #[must_use]
 pub fn boot_time() -> Duration {
-    // The clock exists on every kernel that these daemons run on.
+    // Every kernel that these daemons run on has this clock.
     clock_gettime(ClockId::CLOCK_BOOTTIME).map_or(Duration::ZERO, Duration::from)
 }
--- a/crates/amaranthscale/src/gateway/connection.rs
+++ b/crates/amaranthscale/src/gateway/connection.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a connection: kept connections to backend servers.
+//! State with the life span of a connection: reusable connections to backend servers.
 
 mod connection_pool;
 
--- a/crates/amaranthscale/src/gateway/daemon.rs
+++ b/crates/amaranthscale/src/gateway/daemon.rs
@@ -12,11 +12,11 @@
 
 use super::GatewayConfig;
 use super::connection::ConnectionPool;
-use super::listen::{OtherServers, bind, listen_callers, listen_others};
+use super::listen::{InternalServers, bind, listen_callers, listen_internal};
 use super::process::{
-    BatchOwnerArguments, BatchOwners, BoundedServers, Budgets, CrashWatch, GatewayParts,
-    LimitTracker, ServicePromptTimes, StopGate, forget_limits, remove_outdated, tell_crashes,
-    tell_limits, tend_silent,
+    BatchOwnerArguments, BatchOwners, CrashTracker, FirstEventEstimators, GatewayContext,
+    LimitTracker, RetryBudgets, SendShares, ShutdownGate, monitor_unresponsive, publish_crashes,
+    publish_limits, remove_expired_evidence, remove_stale_limits,
 };
 use super::version::{
     ClusterView, FeedPace, KEY_AGE_PERCENT, Neighbours, Own, READY_AGE_PERCENT, announce_instance,
@@ -25,30 +25,32 @@
 use crate::connection::{HttpServer, PeerClient, PeerClientLimits};
 use crate::process::Counters;
 
-/// Time in which the platform's questions take a stopping gateway out: two misses and a margin.
-const LEAVE_ROTATION: Duration = Duration::from_millis(2_300);
-/// Time kept back from the bound on a stop, for the process to end by itself.
+/// Time in which the platform's readiness checks take a stopping gateway out of rotation: two
+/// failed checks and a margin.
+const ROTATION_DELAY: Duration = Duration::from_millis(2_300);
+/// Time reserved at the end of the stop bound for the process to exit.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
-/// Time before the end of a stop at which requests that were sent nowhere are answered.
-const HURRY: Duration = Duration::from_millis(700);
-/// Bounds of connections to other gateways: a request waits for the next owner meanwhile.
+/// Time before the end of a stop at which requests that were not sent to a server are refused.
+const UNSENT_ABORT_LEAD: Duration = Duration::from_millis(700);
+/// Limits of connections to other gateways; short, as a request waits for them before it tries the
+/// next batch owner.
 const PEER_LIMITS: PeerClientLimits = PeerClientLimits {
     connect_timeout: Duration::from_millis(400),
     dead_peer_timeout: Duration::from_secs(1),
 };
-/// Part of the bound on configurations for which a routing that is known to be replaced is still decided by, in
-/// hundredths: the rest is for the way of the word that there is a newer one.
-const BEHIND_PERCENT: u32 = 80;
-/// Time between two sweeps of kept connections.
-const SWEEP: Duration = Duration::from_secs(2);
+/// Percentage of `apply_bound` for which a routing that is known to be replaced is still used; the
+/// rest allows for the time until the gateway learns of the newer one.
+const MAX_ROUTING_LAG_PERCENT: u32 = 80;
+/// Interval at which state of removed servers is dropped.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(2);
 
 quick_error! {
-    /// A gateway that could not start.
+    /// Error when a gateway cannot start.
     #[derive(Debug)]
     pub enum GatewayError {
-        /// An address cannot be listened at.
-        Listen(what: &'static str, address: std::net::SocketAddr, cause: io::Error) {
-            display("cannot listen for {what} at {address}: {cause}")
+        /// The gateway cannot listen at an address.
+        Listen(purpose: &'static str, address: std::net::SocketAddr, cause: io::Error) {
+            display("cannot listen for {purpose} at {address}: {cause}")
             source(cause)
         }
     }
@@ -57,17 +59,17 @@
 /// A running gateway.
 #[derive(Debug)]
 pub struct Gateway {
-    parts: Arc<GatewayParts>,
+    context: Arc<GatewayContext>,
     config: GatewayConfig,
     callers: HttpServer,
-    others: OtherServers,
-    following: Vec<JoinHandle<()>>,
+    internal: InternalServers,
+    follow_tasks: Vec<JoinHandle<()>>,
 }
 
 impl Gateway {
-    /// Starts a gateway; it is ready once it knows the routing.
+    /// Starts a gateway; it is ready once it has read the routing.
     pub async fn start(mut config: GatewayConfig) -> Result<Self, GatewayError> {
-        // Bound first: the announcement names the port that the system gave.
+        // Bound first, as the announcement contains the port that the system assigned.
         let peers = bind("other gateways", config.announcement.address).await?;
         config.announcement.address = peers.local_addr().map_err(|cause| {
             GatewayError::Listen("other gateways", config.caller_address, cause)
@@ -77,33 +79,42 @@
             config.instance.clone(),
             config.announcement.clone(),
         ));
-        let parts = Arc::new(start_parts(&config, &cluster_view));
+        let context = Arc::new(build_context(&config, &cluster_view));
         let own = Own {
             instance: config.instance.clone(),
             announcement: config.announcement.clone(),
-            stop: Arc::clone(&parts.stop),
-            crashes: Arc::clone(&parts.crashes),
-            limits: Arc::clone(&parts.limits),
+            shutdown: Arc::clone(&context.shutdown),
+            crashes: Arc::clone(&context.crashes),
+            limits: Arc::clone(&context.limits),
             is_announced: Arc::default(),
         };
-        let following = follow(&config, &parts, own.clone());
-        let callers = listen_callers(&config, &parts).await?;
-        let others = listen_others(&config, &parts, peers).await?;
-        tokio::spawn(tell_changes(Arc::clone(&parts)));
-        tokio::spawn(sweep(Arc::clone(&parts)));
-        tokio::spawn(tend_silent(Arc::clone(&parts), config.store.clone()));
-        tokio::spawn(tell_crashes(Arc::clone(&parts), config.store.clone()));
-        tokio::spawn(remove_outdated(Arc::clone(&parts), config.store.clone()));
-        tokio::spawn(tell_limits(Arc::clone(&parts), config.store.clone()));
-        tokio::spawn(forget_limits(Arc::clone(&parts), config.store.clone()));
+        let follow_tasks = follow(&config, &context, own.clone());
+        let callers = listen_callers(&config, &context).await?;
+        let internal = listen_internal(&config, &context, peers).await?;
+        tokio::spawn(propagate_changes(Arc::clone(&context)));
+        tokio::spawn(sweep(Arc::clone(&context)));
+        tokio::spawn(monitor_unresponsive(
+            Arc::clone(&context),
+            config.store.clone(),
+        ));
+        tokio::spawn(publish_crashes(Arc::clone(&context), config.store.clone()));
+        tokio::spawn(remove_expired_evidence(
+            Arc::clone(&context),
+            config.store.clone(),
+        ));
+        tokio::spawn(publish_limits(Arc::clone(&context), config.store.clone()));
+        tokio::spawn(remove_stale_limits(
+            Arc::clone(&context),
+            config.store.clone(),
+        ));
         tokio::spawn(announce_instance(config.store.clone(), own.clone()));
         info!(instance = config.instance.as_str(), zone = config.zone.as_str(); "gateway: started");
         Ok(Self {
-            parts,
+            context,
             config,
             callers,
-            others,
-            following,
+            internal,
+            follow_tasks,
         })
     }
 
@@ -113,74 +124,75 @@
         self.callers.address()
     }
 
-    /// Address at which the platform asks for readiness.
+    /// Address for readiness checks.
     #[must_use]
     pub const fn ready_address(&self) -> std::net::SocketAddr {
-        self.others.ready.address()
+        self.internal.ready.address()
     }
 
     /// Address for other gateways.
     #[must_use]
     pub const fn peer_address(&self) -> std::net::SocketAddr {
-        self.others.peers.address()
+        self.internal.peers.address()
     }
 
-    /// Address at which metrics are read.
+    /// Address for metrics.
     #[must_use]
     pub fn metrics_address(&self) -> Option<std::net::SocketAddr> {
-        self.others.metrics.as_ref().map(HttpServer::address)
+        self.internal.metrics.as_ref().map(HttpServer::address)
     }
 
-    /// Counts of answers, refusals and repeats.
+    /// Counts of answers, refusals and retries.
     #[must_use]
     pub fn counters(&self) -> &Counters {
-        &self.parts.counters
+        &self.context.counters
     }
 
-    /// Leaves the rotation, ends what was taken and stops; says whether all of it ended.
+    /// Leaves the rotation, finishes the open requests and stops; returns whether all of them
+    /// finished.
     ///
-    /// Guards against requests that are cut by a planned stop: new connections come until the
-    /// platform has seen twice that the gateway is not ready, so they are served till then.
+    /// New connections arrive until two readiness checks have failed. They are served until then,
+    /// so that a planned stop interrupts no request.
     pub async fn stop(self) -> bool {
         let instance = self.config.instance.as_str();
-        info!(instance, open = self.parts.stop.open(); "gateway: stopping");
+        info!(instance, open = self.context.shutdown.open_requests(); "gateway: stopping");
         let ends_at = tokio::time::Instant::now() + self.config.stop_bound - STOP_MARGIN;
-        self.parts.stop.stop();
-        self.parts.cluster_view.step_down();
-        self.parts.batches.stop();
+        self.context.shutdown.start();
+        self.context.cluster_view.step_down();
+        self.context.batch_owners.stop();
         let withdrawing = withdraw_instance(&self.config.store, &self.config.instance);
-        let leaving = tokio::time::sleep(LEAVE_ROTATION);
+        let leaving = tokio::time::sleep(ROTATION_DELAY);
         tokio::join!(withdrawing, leaving);
         let left = ends_at.saturating_duration_since(tokio::time::Instant::now());
-        let gate = Arc::clone(&self.parts.stop);
-        let hurrying = tokio::spawn(async move {
-            tokio::time::sleep(left.saturating_sub(HURRY)).await;
-            gate.hurry();
+        let gate = Arc::clone(&self.context.shutdown);
+        let unsent_abort = tokio::spawn(async move {
+            tokio::time::sleep(left.saturating_sub(UNSENT_ABORT_LEAD)).await;
+            gate.abort_unsent();
         });
         let is_drained = self.callers.stop(left).await;
-        hurrying.abort();
+        unsent_abort.abort();
         let left = ends_at.saturating_duration_since(tokio::time::Instant::now());
-        let is_empty = tokio::time::timeout(left, self.parts.stop.emptied()).await;
-        for following in &self.following {
-            following.abort();
+        let is_empty = tokio::time::timeout(left, self.context.shutdown.drained()).await;
+        for task in &self.follow_tasks {
+            task.abort();
         }
-        info!(instance, open = self.parts.stop.open(); "gateway: stopped");
+        info!(instance, open = self.context.shutdown.open_requests(); "gateway: stopped");
         is_drained && is_empty.is_ok()
     }
 }
 
-fn follow(config: &GatewayConfig, parts: &GatewayParts, own: Own) -> Vec<JoinHandle<()>> {
+fn follow(config: &GatewayConfig, context: &GatewayContext, own: Own) -> Vec<JoinHandle<()>> {
     let neighbours = Neighbours {
-        cluster_view: Arc::clone(&parts.cluster_view),
-        peers: Arc::clone(&parts.peers),
-        handed_on: Arc::clone(&parts.handed_on),
-        counters: Arc::clone(&parts.counters),
+        cluster_view: Arc::clone(&context.cluster_view),
+        peers: Arc::clone(&context.peers),
+        handed_on: Arc::clone(&context.handed_on),
+        counters: Arc::clone(&context.counters),
     };
     vec![
         tokio::spawn(follow_routing(
             config.store.clone(),
             neighbours.clone(),
-            Arc::clone(&parts.latencies),
+            Arc::clone(&context.latencies),
             FeedPace::routing(config.revoke_bound)
                 .heard_within(config.apply_bound.min(config.evacuation_bound)),
         )),
@@ -198,7 +210,7 @@
     ]
 }
 
-fn start_parts(config: &GatewayConfig, cluster_view: &Arc<ClusterView>) -> GatewayParts {
+fn build_context(config: &GatewayConfig, cluster_view: &Arc<ClusterView>) -> GatewayContext {
     let counters = Arc::new(Counters::local("amaranth.gateway"));
     let pool = Arc::new(ConnectionPool::default());
     let dialect = Arc::new(config.dialect.clone());
@@ -219,14 +231,14 @@
         latencies: Arc::default(),
     };
     let latencies = Arc::clone(&arguments.latencies);
-    let crashes = CrashWatch::new(
+    let crashes = CrashTracker::new(
         config.instance.clone(),
         config.clock,
         Arc::clone(cluster_view),
         Arc::clone(&counters),
         config.store.clone(),
     );
-    GatewayParts {
+    GatewayContext {
         crashes: Arc::new(crashes),
         instance: config.instance.clone(),
         zone: config.zone.clone(),
@@ -234,39 +246,39 @@
         limits,
         pool,
         dialect,
-        budgets: Budgets::new(config.retry_budget),
-        prompt_times: ServicePromptTimes::default(),
-        bounded: BoundedServers::new(config.cold_allowance, config.clock.now()),
-        batches: Arc::new(BatchOwners::new(arguments)),
+        retry_budgets: RetryBudgets::new(config.retry_budget),
+        first_event_estimators: FirstEventEstimators::default(),
+        send_shares: SendShares::new(config.cold_allowance, config.clock.now()),
+        batch_owners: Arc::new(BatchOwners::new(arguments)),
         peers: Arc::new(PeerClient::new(PEER_LIMITS)),
         handed_on: Arc::default(),
         counters,
         latencies,
-        stop: Arc::new(StopGate::default()),
-        key_age: config.revoke_bound * KEY_AGE_PERCENT / 100,
-        ready_age: config.revoke_bound * READY_AGE_PERCENT / 100,
-        behind_after: config.apply_bound * BEHIND_PERCENT / 100,
-        choice: Mutex::new(ServerSelector::default()),
+        shutdown: Arc::new(ShutdownGate::default()),
+        max_key_age: config.revoke_bound * KEY_AGE_PERCENT / 100,
+        max_ready_age: config.revoke_bound * READY_AGE_PERCENT / 100,
+        max_routing_lag: config.apply_bound * MAX_ROUTING_LAG_PERCENT / 100,
+        server_selector: Mutex::new(ServerSelector::default()),
     }
 }
 
-/// Tells of each change those who work by what is known.
-async fn tell_changes(parts: Arc<GatewayParts>) {
-    let mut changes = parts.cluster_view.changes();
+/// Notifies the crash tracker and the batch owners of changes of routing or servers.
+async fn propagate_changes(context: Arc<GatewayContext>) {
+    let mut changes = context.cluster_view.changes();
     while changes.changed().await.is_ok() {
-        parts.crashes.servers_changed();
-        parts.batches.tell_changed();
+        context.crashes.check_unlisted_servers();
+        context.batch_owners.notify_changed();
     }
 }
 
-/// Forgets what belongs to servers that are gone.
-async fn sweep(parts: Arc<GatewayParts>) {
+/// Drops connections, load statistics and send counts of servers that are no longer usable.
+async fn sweep(context: Arc<GatewayContext>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
-        let servers = parts.cluster_view.servers();
-        let is_known = |life: &ServerIncarnation| servers.is_usable(life);
-        parts.pool.retain(is_known);
-        parts.choice().retain(is_known);
-        parts.bounded.retain(is_known);
+        tokio::time::sleep(SWEEP_INTERVAL).await;
+        let servers = context.cluster_view.servers();
+        let is_known = |incarnation: &ServerIncarnation| servers.is_usable(incarnation);
+        context.pool.retain(is_known);
+        context.server_selector().retain(is_known);
+        context.send_shares.retain(is_known);
     }
 }
--- a/crates/amaranthscale/src/gateway/dialect.rs
+++ b/crates/amaranthscale/src/gateway/dialect.rs
@@ -1,4 +1,4 @@
-//! How callers and backend servers of a platform speak: names and formats, no decisions.
+//! Header names and message formats of a platform's callers and backend servers, without decisions.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// A request's head that cannot be served.
+    /// A request header that is missing or malformed.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum InvalidHeader {
-        /// A header is missing.
+        /// A required header is missing.
         Missing(header: HeaderName) {
             display("header {header} is missing: send it with every request")
         }
-        /// A header's value cannot be read.
+        /// A header's value cannot be parsed.
         Malformed(header: HeaderName, value: String) {
             display("header {header} has the value {value:?}, which cannot be read")
         }
@@ -28,70 +28,70 @@
 /// Names of the headers that a gateway reads or sets.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
-    /// The caller's name of a send.
+    /// The caller's id of a call.
     pub call: HeaderName,
-    /// Milliseconds that are left.
+    /// Remaining milliseconds until the deadline.
     pub deadline_ms: HeaderName,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: HeaderName,
-    /// The organisation, for the server.
+    /// The organisation, forwarded to the server.
     pub organisation: HeaderName,
-    /// The life of the server that is meant.
+    /// The server that the request is meant for.
     pub target: HeaderName,
-    /// The server's stamp on its answers.
+    /// The server's stamp on an answer.
     pub stamp: HeaderName,
-    /// Handles of the results that an engine reads.
+    /// Handles of the stage results that an engine reads.
     pub inputs: HeaderName,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller has received.
     pub last_event: HeaderName,
-    /// Headers that reach the server whatever the caller says of them.
+    /// Headers forwarded even where the caller lists them as hop-by-hop.
     pub always_forwarded: Vec<HeaderName>,
-    /// Headers that callers may not set.
+    /// Headers of callers that are never forwarded.
     pub reserved: Vec<HeaderName>,
 }
 
-/// What a caller's head says of the work.
+/// What a caller's headers state about its request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestAttributes {
-    /// The caller's name of this send.
+    /// The caller's id of this call.
     pub call: CallId,
-    /// How long the caller waits.
+    /// Time for which the caller waits for the answer.
     pub timeout: Option<Duration>,
-    /// Pieces of each stage.
+    /// Number of pieces of each stage.
     pub pieces: Vec<usize>,
-    /// Key of the pieces.
+    /// Key that stage servers read the pieces' input by.
     pub piece_key: String,
-    /// Worth of the answer against others', in tokens of work; 0 if not known.
+    /// Value of the answer relative to others, in tokens of work; 0 if not known.
     pub worth_tokens: u64,
     /// Tokens of the prompt; 0 if not known.
     pub prompt_tokens: u64,
-    /// Last part of the prompt that other requests share.
+    /// Id of the last prefix of the prompt that other requests share.
     pub shared_prefix: Option<String>,
 }
 
-/// How one platform's callers and servers speak.
+/// Headers and message formats of one platform's callers and servers.
 #[derive(Debug, Clone)]
 pub struct Dialect {
-    /// Names of headers.
+    /// Header names.
     pub headers: HeaderNames,
-    /// Reads what a caller's head says of the work.
+    /// Parses a caller's headers.
     pub parse_request_attributes: fn(&HeaderMap) -> Result<RequestAttributes, InvalidHeader>,
-    /// Whether an answer says that the request did not run.
+    /// Whether an answer states that the request did not run.
     pub did_not_run: fn(StatusCode, &HeaderMap) -> bool,
-    /// Whether an answer says that the address has another server.
+    /// Whether an answer states that another server is at the address.
     pub is_other_server: fn(StatusCode) -> bool,
-    /// Whether an answer says that a result which the request needs is gone.
+    /// Whether an answer states that a stage result which the request needs is missing.
     pub is_input_gone: fn(StatusCode) -> bool,
-    /// The load that an answer tells.
+    /// The load reported with an answer.
     pub reported_load: fn(&HeaderMap) -> Option<ServerLoad>,
-    /// The limit that an answer names.
+    /// The rate limit reported with an answer.
     pub reported_limit: fn(&HeaderMap) -> Option<Result<ServerLimit, InvalidServerLimit>>,
-    /// A call for a batch of pieces.
+    /// Builds the request for a batch of pieces.
     pub batch_request: fn(&Batch) -> Request<Full<Bytes>>,
-    /// Reads the answer to such a call.
+    /// Parses the answer to it.
     pub parse_batch_answer: fn(StatusCode, &HeaderMap, &[u8]) -> BatchEnd,
-    /// When to come back, as callers read it.
+    /// Value of the `Retry-After` header.
     pub retry_after: fn(Duration) -> HeaderValue,
-    /// A call that frees results.
+    /// Builds the request that frees results.
     pub free_request: fn(&[ResultHandle]) -> Request<Full<Bytes>>,
 }
--- a/crates/amaranthscale/src/gateway/gateway_config.rs
+++ b/crates/amaranthscale/src/gateway/gateway_config.rs
@@ -1,4 +1,4 @@
-//! What a gateway is started with.
+//! Configuration of a gateway.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,41 +8,41 @@
 
 use super::{Clock, Dialect, StoreApi};
 
-/// Settings and formats of one gateway.
+/// Settings and platform formats of one gateway.
 #[derive(Debug, Clone)]
 pub struct GatewayConfig {
-    /// This life of the gateway.
+    /// Id of this incarnation of the gateway.
     pub instance: InstanceId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Where callers connect.
+    /// Listening address for callers.
     pub caller_address: SocketAddr,
-    /// Where the platform asks whether it is ready.
+    /// Listening address for readiness checks.
     pub ready_address: SocketAddr,
-    /// What it announces to the others: where they connect, and its strength.
+    /// What it announces to the other gateways: its address and its CPU share.
     pub announcement: Announcement,
-    /// Where metrics are read.
+    /// Listening address for metrics.
     pub metrics_address: Option<SocketAddr>,
-    /// Longest time for which a revoked key may still be served.
+    /// Maximum time for which a revoked key may still be accepted.
     pub revoke_bound: Duration,
-    /// Longest time in which a change of the routing is in force.
+    /// Maximum time until a change of the routing is in force.
     pub apply_bound: Duration,
-    /// Longest time for which a server that is known to leave may still be given work.
+    /// Maximum time for which a leaving server may still be given work.
     pub drain_bound: Duration,
-    /// Longest time for which an evacuated zone may still be given work.
+    /// Maximum time for which an evacuated zone may still be given work.
     pub evacuation_bound: Duration,
-    /// Longest time in which all gateways know of a server that crashed.
+    /// Maximum time until all gateways know of a server that crashed.
     pub crash_bound: Duration,
-    /// How far cold servers may be used.
+    /// How far cold servers may exceed their own rate.
     pub cold_allowance: ColdAllowance,
-    /// Longest time that a stop may take.
+    /// Maximum duration of a stop.
     pub stop_bound: Duration,
-    /// Repeats that all gateways together may send to a service.
+    /// Retries that all gateways together may send to a service.
     pub retry_budget: RetryBudgetSettings,
     /// The clocks.
     pub clock: Clock,
-    /// How callers and servers speak.
+    /// Headers and formats of callers and servers.
     pub dialect: Dialect,
-    /// How the store is called.
+    /// Requests to the store and parsers of its answers.
     pub store: StoreApi,
 }
--- a/crates/amaranthscale/src/gateway/process.rs
+++ b/crates/amaranthscale/src/gateway/process.rs
@@ -1,62 +1,62 @@
-//! What lives as long as the process: the owner of the batches and the parts that requests share.
+//! State with the life span of the process: the batch owners and what all requests share.
 
 mod batch_calls;
 mod batch_message;
 mod batch_owner;
 mod batch_owner_handle;
 mod batch_owners;
-mod bounded_servers;
-mod budgets;
-mod crash_watch;
-mod kept_pieces;
+mod crash_tracker;
+mod first_event_estimators;
+mod gateway_context;
 mod limit_tracker;
-mod parts;
+mod monitor_unresponsive;
+mod peer_jobs;
 mod peer_message;
-mod peer_pieces;
 mod peer_server;
-mod pieces;
-mod server_uses;
-mod service_prompt_times;
+mod publish_crashes;
+mod publish_limits;
+mod retained_results;
+mod retry_budgets;
+mod run_job;
+mod send_shares;
+mod server_selection;
+mod shutdown_gate;
 mod single_run;
-mod stop_gate;
-mod tell_crashes;
-mod tell_limits;
-mod tend_silent;
 
 #[doc(inline)]
 pub use batch_message::{BatchOwnerMessage, JobOutcome, JobSource, JobUpdate, Submission};
 #[doc(inline)]
 pub use batch_owner::{BatchOwner, BatchOwnerArguments};
 #[doc(inline)]
-pub use batch_owner_handle::{BatchOwnerHandle, OwnedJob, RunningJob};
+pub use batch_owner_handle::{BatchOwnerHandle, JobGuard, RunningJob};
 #[doc(inline)]
 pub use batch_owners::BatchOwners;
 #[doc(inline)]
-pub use bounded_servers::{BoundedServers, ShareBasis};
+pub use crash_tracker::CrashTracker;
 #[doc(inline)]
-pub use budgets::Budgets;
+pub use first_event_estimators::FirstEventEstimators;
 #[doc(inline)]
-pub use crash_watch::CrashWatch;
+pub use gateway_context::GatewayContext;
 #[doc(inline)]
 pub use limit_tracker::LimitTracker;
 #[doc(inline)]
-pub use parts::GatewayParts;
+pub use monitor_unresponsive::monitor_unresponsive;
 #[doc(inline)]
-pub use peer_pieces::PIECES_PATH;
+pub use peer_jobs::JOB_PATH;
 #[doc(inline)]
-pub use peer_server::{ALIVE_PATH, ask_alive, serve_peer};
-pub(crate) use pieces::make_pieces;
+pub use peer_server::{ALIVE_PATH, check_alive, serve_peer};
 #[doc(inline)]
-pub use pieces::{MadePieces, PiecesError};
-pub(crate) use server_uses::NoneUsable;
+pub use publish_crashes::{publish_crashes, remove_expired_evidence};
 #[doc(inline)]
-pub use service_prompt_times::ServicePromptTimes;
-pub(crate) use single_run::SingleRun;
+pub use publish_limits::{publish_limits, remove_stale_limits};
 #[doc(inline)]
-pub use stop_gate::{OpenRequest, StopGate};
+pub use retry_budgets::RetryBudgets;
+pub(crate) use run_job::run_job;
 #[doc(inline)]
-pub use tell_crashes::{remove_outdated, tell_crashes};
+pub use run_job::{JobError, JobResults};
 #[doc(inline)]
-pub use tell_limits::{forget_limits, tell_limits};
+pub use send_shares::{SendShares, ShareInputs};
+pub(crate) use server_selection::NoServerAvailable;
 #[doc(inline)]
-pub use tend_silent::tend_silent;
+pub use shutdown_gate::{OpenRequest, ShutdownGate};
+pub(crate) use single_run::SingleRun;
--- a/crates/amaranthscale/src/gateway/process/batch_calls.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_calls.rs
@@ -18,12 +18,12 @@
 use crate::connection::{SendError, read_body};
 use crate::process::Counters;
 
-/// Largest answer to a batch: a handle for each piece.
+/// Maximum size of an answer to a batch, which has a handle for each piece.
 const MAX_ANSWER_BYTES: usize = 1024 * 1024;
-/// Longest wait for a call that frees results; unfreed ones lapse by themselves.
-const FREE_PATIENCE: Duration = Duration::from_millis(500);
+/// Timeout of a call that frees results; servers expire results that were not freed.
+const FREE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What calls to stage servers need.
+/// Shared state for calls to stage servers.
 #[derive(Debug, Clone)]
 pub(super) struct BatchCaller {
     pub(super) pool: Arc<ConnectionPool>,
@@ -33,84 +33,86 @@
     pub(super) limits: Arc<LimitTracker>,
 }
 
-/// Has a batch made; a call without an answer in time counts as lost.
+/// Sends a batch; a call without an answer within the batch's timeout counts as unanswered.
 async fn call_batch(caller: &BatchCaller, batch: &Batch) -> CallEnd {
-    let call = call_in_time(caller, batch);
+    let call = call_with_reconnect(caller, batch);
     tokio::time::timeout(batch.timeout, call)
         .await
-        .unwrap_or(LOST)
+        .unwrap_or(NO_ANSWER)
 }
 
-/// How a call ended, and the load that the server told with it.
+/// How a call ended, and the load that the server reported with it.
 #[derive(Debug)]
 pub(super) struct CallEnd {
     pub(super) end: BatchEnd,
-    pub(super) told: Option<ServerLoad>,
+    pub(super) reported_load: Option<ServerLoad>,
 }
 
-const LOST: CallEnd = CallEnd {
+const NO_ANSWER: CallEnd = CallEnd {
     end: BatchEnd::NoAnswer,
-    told: None,
+    reported_load: None,
 };
 
-const CUT_OFF: CallEnd = CallEnd {
+const CONNECTION_LOST: CallEnd = CallEnd {
     end: BatchEnd::ConnectionLost,
-    told: None,
+    reported_load: None,
 };
 
-async fn call_in_time(caller: &BatchCaller, batch: &Batch) -> CallEnd {
-    // Pieces may be made again, so a kept connection that proves dead is followed by a new one.
+async fn call_with_reconnect(caller: &BatchCaller, batch: &Batch) -> CallEnd {
+    // Pieces may run twice, so a dead idle connection is replaced by a new one.
     match call_once(caller, batch, true).await {
         Ok(end) => end,
         Err(SendError::NotSent(..)) => match call_once(caller, batch, false).await {
             Ok(end) => end,
-            Err(error) => lost(&error),
+            Err(error) => failed_call(&error),
         },
-        Err(error) => lost(&error),
+        Err(error) => failed_call(&error),
     }
 }
 
-fn lost(error: &SendError) -> CallEnd {
+fn failed_call(error: &SendError) -> CallEnd {
     debug!("batches: {error}");
     match error {
-        SendError::NotSent(..) => LOST,
-        SendError::Lost(..) => CUT_OFF,
+        SendError::NotSent(..) => NO_ANSWER,
+        SendError::Lost(..) => CONNECTION_LOST,
     }
 }
 
 async fn call_once(
     caller: &BatchCaller,
     batch: &Batch,
-    may_be_kept: bool,
+    may_reuse: bool,
 ) -> Result<CallEnd, SendError> {
     let BatchCaller { pool, dialect, .. } = caller;
-    let mut connection = if may_be_kept {
-        pool.connection(&server(batch)).await?
+    let mut connection = if may_reuse {
+        pool.connection(&server_record(batch)).await?
     } else {
         pool.fresh(&batch.server, batch.address).await?
     };
-    // Its zone may have been evacuated, or it may have begun to leave, since it was chosen.
+    // Since the server was chosen, its zone may have been evacuated or it may have begun to leave.
     if !caller.cluster_view.servers().is_usable(&batch.server) {
         return Ok(CallEnd {
             end: BatchEnd::NotSent,
-            told: None,
+            reported_load: None,
         });
     }
     let sent_at = Instant::now();
     let response = connection.send((dialect.batch_request)(batch)).await?;
     let (head, body) = response.into_parts();
-    caller.limits.heard(dialect, &batch.server, &head, sent_at);
+    caller
+        .limits
+        .record_answer(dialect, &batch.server, &head, sent_at);
     let body = read_body(body, MAX_ANSWER_BYTES, batch.timeout)
         .await
         .map_err(|error| SendError::Lost(batch.address, error.to_string()))?;
     pool.give_back(connection, &head.headers, ConnectionShare::UNLIMITED);
     Ok(CallEnd {
         end: (dialect.parse_batch_answer)(head.status, &head.headers, &body),
-        told: (dialect.reported_load)(&head.headers),
+        reported_load: (dialect.reported_load)(&head.headers),
     })
 }
 
-fn server(batch: &Batch) -> ServerRecord {
+fn server_record(batch: &Batch) -> ServerRecord {
     ServerRecord {
         incarnation: batch.server.clone(),
         service: batch.service.clone(),
@@ -122,18 +124,25 @@
     }
 }
 
-/// Lets a server drop results.
-pub(super) async fn call_free(dialect: &Dialect, pool: &ConnectionPool, frees: &FreeRequest) {
+/// Requests a server to free results.
+pub(super) async fn send_free_request(
+    dialect: &Dialect,
+    pool: &ConnectionPool,
+    free_request: &FreeRequest,
+) {
     let call = async {
-        let mut connection = match pool.kept(&frees.server) {
+        let mut connection = match pool.kept(&free_request.server) {
             Some(connection) => connection,
-            None => pool.fresh(&frees.server, frees.address).await?,
+            None => {
+                pool.fresh(&free_request.server, free_request.address)
+                    .await?
+            }
         };
         let response = connection
-            .send((dialect.free_request)(&frees.handles))
+            .send((dialect.free_request)(&free_request.handles))
             .await?;
         let (head, body) = response.into_parts();
-        if read_body(body, MAX_ANSWER_BYTES, FREE_PATIENCE)
+        if read_body(body, MAX_ANSWER_BYTES, FREE_TIMEOUT)
             .await
             .is_ok()
         {
@@ -141,22 +150,22 @@
         }
         Ok::<(), SendError>(())
     };
-    match tokio::time::timeout(FREE_PATIENCE, call).await {
+    match tokio::time::timeout(FREE_TIMEOUT, call).await {
         Ok(Ok(())) => {}
-        // The results lapse by themselves; their maker may be gone with them.
+        // The server expires the results, or has ended and lost them.
         Ok(Err(error)) => debug!("batches: results not freed: {error}"),
         Err(_elapsed) => debug!("batches: results not freed in time"),
     }
 }
 
-/// Has a batch made, and counts and logs what was not.
+/// Runs a batch, and counts and logs its failed pieces.
 pub(super) async fn run_batch(caller: &BatchCaller, batch: &Batch) -> CallEnd {
     let started = Instant::now();
     let counters = &caller.counters;
     counters.count("batch.calls");
     let end = call_batch(caller, batch).await;
     let ms = ms(started.elapsed());
-    for (end, pieces) in failed_pieces(&end.end, batch.items.len()) {
+    for (end, pieces) in failed_piece_counts(&end.end, batch.items.len()) {
         counters.add(&format!("pieces.{end}"), pieces);
         info!(
             service = batch.service.as_str(), server:% = batch.server, end, pieces,
@@ -167,8 +176,8 @@
     end
 }
 
-/// Pieces of a call that were not made, by reason.
-fn failed_pieces(end: &BatchEnd, sent: usize) -> BTreeMap<&'static str, u64> {
+/// Failed pieces of a call, by reason.
+fn failed_piece_counts(end: &BatchEnd, sent: usize) -> BTreeMap<&'static str, u64> {
     let sent = u64::try_from(sent).unwrap_or(u64::MAX);
     let ends = match end {
         BatchEnd::Pieces(ends) => ends,
--- a/crates/amaranthscale/src/gateway/process/batch_message.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_message.rs
@@ -1,4 +1,4 @@
-//! What is said to an owner of batches, and what it tells.
+//! Messages to and from a batch owner.
 
 use std::net::SocketAddr;
 
@@ -10,81 +10,81 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// What a job came to.
+/// How a job ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobOutcome {
-    /// All pieces are made.
+    /// All results are computed.
     Done(Vec<ResultHandle>),
-    /// The job was not taken; nothing of it was begun.
+    /// The job was not accepted; nothing of it was begun.
     Refused {
-        /// Milliseconds after which there may be place.
+        /// Milliseconds after which to retry.
         retry_after_ms: u64,
-        /// Why.
+        /// Reason.
         reason: JobFailure,
     },
-    /// The job was given up.
+    /// The job was abandoned.
     Failed(JobFailure),
-    /// This gateway is about to stop and takes no jobs.
+    /// The owner's gateway is stopping and accepts no jobs.
     Stopping,
 }
 
-/// What an owner tells of a job.
+/// Progress of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobUpdate {
-    /// Some of its pieces are made.
+    /// Some of its results are computed.
     Made(Vec<RetainedResult>),
-    /// A call with some of its pieces was cut off at a server.
+    /// The connection to a server ended during a call with some of its pieces.
     CutOff {
         /// The server.
         server: ServerIncarnation,
-        /// Where it listened.
+        /// The server's address.
         address: SocketAddr,
     },
-    /// What was made of a stage is there no more.
+    /// The results of a stage are no longer available.
     Dropped(usize),
-    /// What it came to; nothing follows.
+    /// The outcome; no further update follows.
     Ended(JobOutcome),
 }
 
-/// Where a job comes from.
+/// Origin of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobSource {
-    /// A request at this gateway, for which no other gateway is left to ask.
+    /// A request at this gateway, which has no other owner to try.
     Local,
-    /// Another gateway, which can ask the next owner.
+    /// Another gateway, which can try the next owner.
     Peer,
 }
 
-/// Messages to the owner of the batches.
+/// Messages to a batch owner.
 #[derive(Debug)]
 pub enum BatchOwnerMessage {
-    /// Takes a job.
+    /// Submits a job.
     Submit(Submission),
     /// Ends a job and frees its results.
     Release(JobId),
-    /// A call has ended.
-    Ended(BatchId, BatchEnd, Option<ServerLoad>),
+    /// A batch call has ended.
+    CallEnded(BatchId, BatchEnd, Option<ServerLoad>),
     /// A call that frees results has ended.
-    Freed(FreeRequest),
+    ResultsFreed(FreeRequest),
     /// Routing or servers have changed.
-    Changed,
-    /// Looks at what waits; names when that was due.
-    Look(Instant),
-    /// Takes no more jobs.
+    ClusterChanged,
+    /// Processes queued work; carries the time at which that was due.
+    Tick(Instant),
+    /// Accepts no more jobs of other gateways.
     Stop,
 }
 
 /// A job on its way to its owner.
 #[derive(Debug)]
 pub struct Submission {
-    /// What is to be made.
-    pub order: JobSpec,
-    /// Tells the sender the job's id at once.
-    pub id: oneshot::Sender<JobId>,
-    /// Tells what becomes of it by and by.
+    /// The job's stages and deadlines.
+    pub spec: JobSpec,
+    /// Receives the job's id once it is accepted.
+    pub job_id: oneshot::Sender<JobId>,
+    /// Receives the job's updates.
     pub updates: mpsc::UnboundedSender<JobUpdate>,
-    /// Where it comes from.
+    /// Origin of the job.
     pub source: JobSource,
-    /// When it arrived at this process.
-    pub arrived: Instant,
+    /// When the job arrived at this process.
+    pub arrived_at: Instant,
 }
--- a/crates/amaranthscale/src/gateway/process/batch_owner.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_owner.rs
@@ -1,7 +1,7 @@
-//! Owns the batches: an actor around the core's batcher.
+//! The batch owner: an actor around the core's batcher.
 //!
-//! It has work only while the gateways' order makes this one the owner of its cell, or while others
-//! believe so. Calls to stage servers run as tasks that send their ends back.
+//! It has work only while this gateway is the owner of the cell, or other gateways consider it the
+//! owner. Calls to stage servers run as tasks that send their results back to the actor.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -23,41 +23,42 @@
 use super::super::connection::ConnectionPool;
 use super::super::version::ClusterView;
 use super::LimitTracker;
-use super::batch_calls::{BatchCaller, CallEnd, call_free, run_batch};
+use super::batch_calls::{BatchCaller, CallEnd, run_batch, send_free_request};
 use super::batch_message::{BatchOwnerMessage, JobOutcome, JobSource, JobUpdate, Submission};
 use crate::process::{Counters, Latencies};
 
-/// Longest time between two looks at what waits: for servers that come back, and what turns late.
-const TICK: Duration = Duration::from_millis(20);
-/// Time in which messages are answered by one look: a hundredth of a call, and at thousands of
-/// messages a second a look for each would take most of the owner's time.
-const GATHER: Duration = Duration::from_millis(2);
-/// Time after which a caller may come back to an owner that is behind: it is in time again within
-/// some hundred milliseconds once it takes nothing more.
-const BEHIND_RETRY: Duration = Duration::from_millis(500);
+/// Maximum time between two ticks while jobs are queued, to notice servers that became available
+/// and jobs that became late.
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for which messages are collected before a tick processes them: a hundredth of a call. At
+/// thousands of messages a second, a tick for each would take most of the owner's CPU time.
+const COALESCE_DELAY: Duration = Duration::from_millis(2);
+/// Retry delay for callers while the owner is overloaded: it catches up within some hundred
+/// milliseconds once it accepts no more jobs.
+const OVERLOAD_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The actor.
+/// The batch owner's actor.
 #[derive(Debug)]
 pub struct BatchOwner;
 
-/// What the actor needs.
+/// Arguments of the actor.
 #[derive(Debug, Clone)]
 pub struct BatchOwnerArguments {
-    /// The cell whose batches are owned.
+    /// The owned cell.
     pub cell: Cell,
     /// Routing and servers.
     pub cluster_view: Arc<ClusterView>,
-    /// How far cold servers may be used.
+    /// How far cold servers may exceed their own rate.
     pub cold_allowance: ColdAllowance,
     /// Connections to stage servers.
     pub pool: Arc<ConnectionPool>,
-    /// How stage servers are called.
+    /// Headers and formats of calls to stage servers.
     pub dialect: Arc<Dialect>,
-    /// Counts ends of calls and jobs.
+    /// Counts results of calls and jobs.
     pub counters: Arc<Counters>,
-    /// Times of calls by service.
+    /// Latencies of calls by service.
     pub latencies: Arc<Latencies>,
-    /// What servers say of their limits.
+    /// Rate limits that servers report.
     pub limits: Arc<LimitTracker>,
 }
 
@@ -66,26 +67,26 @@
 pub struct BatchOwnerState {
     arguments: BatchOwnerArguments,
     batcher: Batcher,
-    waiting: BTreeMap<JobId, Waiting>,
-    freeing: BTreeSet<ServerIncarnation>,
-    next_look: Option<NextLook>,
-    keeping_up: LagDetector,
+    pending: BTreeMap<JobId, PendingJob>,
+    servers_freeing: BTreeSet<ServerIncarnation>,
+    next_tick: Option<ScheduledTick>,
+    lag_detector: LagDetector,
     is_stopping: bool,
 }
 
-/// The look that is due next.
+/// The next scheduled tick.
 #[derive(Debug)]
-struct NextLook {
+struct ScheduledTick {
     due: Instant,
     timer: JoinHandle<Result<(), ractor::MessagingErr<BatchOwnerMessage>>>,
 }
 
-/// Who waits for a job.
+/// The submitter of a job that has not ended.
 #[derive(Debug)]
-struct Waiting {
+struct PendingJob {
     call: CallId,
     updates: mpsc::UnboundedSender<JobUpdate>,
-    taken_at: Instant,
+    accepted_at: Instant,
 }
 
 impl Actor for BatchOwner {
@@ -101,13 +102,13 @@
         let mut state = BatchOwnerState {
             arguments,
             batcher: Batcher::new(),
-            waiting: BTreeMap::new(),
-            freeing: BTreeSet::new(),
-            next_look: None,
-            keeping_up: LagDetector::default(),
+            pending: BTreeMap::new(),
+            servers_freeing: BTreeSet::new(),
+            next_tick: None,
+            lag_detector: LagDetector::default(),
             is_stopping: false,
         };
-        state.take_servers();
+        state.update_servers();
         Ok(state)
     }
 
@@ -121,19 +122,19 @@
         match message {
             BatchOwnerMessage::Submit(submission) => state.submit(submission, now),
             BatchOwnerMessage::Release(job) => {
-                state.waiting.remove(&job);
+                state.pending.remove(&job);
                 state.batcher.release(job);
             }
-            BatchOwnerMessage::Ended(batch, end, told) => {
-                state.batcher.batch_ended(batch, end, told, now);
+            BatchOwnerMessage::CallEnded(batch, end, reported_load) => {
+                state.batcher.batch_ended(batch, end, reported_load, now);
             }
-            BatchOwnerMessage::Changed => state.take_servers(),
-            BatchOwnerMessage::Freed(frees) => {
-                state.freeing.remove(&frees.server);
-                state.batcher.results_freed(&frees);
+            BatchOwnerMessage::ClusterChanged => state.update_servers(),
+            BatchOwnerMessage::ResultsFreed(free_request) => {
+                state.servers_freeing.remove(&free_request.server);
+                state.batcher.results_freed(&free_request);
             }
-            BatchOwnerMessage::Look(due) => {
-                state.look(&myself, due, now);
+            BatchOwnerMessage::Tick(due) => {
+                state.tick(&myself, due, now);
                 return Ok(());
             }
             BatchOwnerMessage::Stop => {
@@ -141,108 +142,108 @@
                 state.batcher.stop();
             }
         }
-        state.look_within(&myself, GATHER);
+        state.schedule_tick(&myself, COALESCE_DELAY);
         Ok(())
     }
 }
 
 impl BatchOwnerState {
-    /// Sends what can be sent and tells what has become of jobs.
-    fn look(&mut self, myself: &ActorRef<BatchOwnerMessage>, due: Instant, now: Duration) {
-        if self.next_look.as_ref().is_none_or(|next| next.due != due) {
-            // An earlier one took its place.
+    /// Sends the calls that are due and delivers the events of jobs.
+    fn tick(&mut self, myself: &ActorRef<BatchOwnerMessage>, due: Instant, now: Duration) {
+        if self.next_tick.as_ref().is_none_or(|next| next.due != due) {
+            // An earlier tick replaced this one.
             return;
         }
-        self.next_look = None;
-        self.note_pace(due, now);
-        self.send_frees(myself);
+        self.next_tick = None;
+        self.record_lag(due, now);
+        self.send_free_requests(myself);
         self.send_batches(myself, now);
-        self.tell();
+        self.deliver_events();
         self.hand_over();
         if self.batcher.job_count() > 0 {
-            // Ends with the last job, so an idle owner does not wake up.
-            self.look_within(myself, TICK);
+            // Without jobs no tick is scheduled, so that an idle owner does not wake up.
+            self.schedule_tick(myself, MAX_TICK_INTERVAL);
         }
     }
 
-    /// Sees to it that what waits is looked at within a time.
-    fn look_within(&mut self, myself: &ActorRef<BatchOwnerMessage>, within: Duration) {
+    /// Schedules a tick within a time, unless an earlier one is due.
+    fn schedule_tick(&mut self, myself: &ActorRef<BatchOwnerMessage>, within: Duration) {
         let due = Instant::now() + within;
-        match &self.next_look {
+        match &self.next_tick {
             Some(next) if next.due <= due => return,
             Some(later) => later.timer.abort(),
             None => {}
         }
-        let timer = myself.send_after(within, move || BatchOwnerMessage::Look(due));
-        self.next_look = Some(NextLook { due, timer });
+        let timer = myself.send_after(within, move || BatchOwnerMessage::Tick(due));
+        self.next_tick = Some(ScheduledTick { due, timer });
     }
 
-    fn note_pace(&mut self, due: Instant, now: Duration) {
+    fn record_lag(&mut self, due: Instant, now: Duration) {
         let late = due.elapsed();
         self.arguments.latencies.record("owner.late", late);
-        let Some(pace) = self.keeping_up.observe(now.saturating_sub(late), now) else {
+        let Some(lag_change) = self.lag_detector.observe(now.saturating_sub(late), now) else {
             return;
         };
         let (jobs, waiting) = (self.batcher.job_count(), self.batcher.queued_stages());
-        match pace {
+        match lag_change {
             LagChange::FellBehind => {
                 self.arguments.counters.count("owner.behind");
-                warn!(late_ms = ms(late), jobs, waiting; "batches: behind, taking no more");
+                warn!(late_ms = ms(late), jobs, waiting; "batches: overloaded, refusing new jobs");
             }
-            LagChange::CaughtUp => info!(jobs, waiting; "batches: in time again"),
+            LagChange::CaughtUp => info!(jobs, waiting; "batches: caught up, accepting jobs again"),
         }
     }
 
-    /// Refuses a job while the owner is behind.
+    /// Accepts a job, or refuses it while the owner is behind.
     ///
-    /// Guards against an overload that stands for good: taken in, jobs come to their turn when
-    /// their callers have left, and what is done for those makes the next ones late as well.
+    /// Without the refusal an overload would never end: jobs would be processed after their callers
+    /// had left, and the work spent on them would make the next ones late as well.
     fn submit(&mut self, submission: Submission, now: Duration) {
         let Submission {
-            mut order,
-            id,
+            mut spec,
+            job_id,
             updates,
             source,
-            arrived,
+            arrived_at,
         } = submission;
         if self.is_stopping && source == JobSource::Local {
-            // A request that was taken is not cut off by a planned stop of all gateways.
+            // A planned stop of all gateways does not interrupt a request that was accepted.
             self.batcher.resume();
         } else if self.is_stopping {
-            // A caller that has left needs no answer, here as below.
+            // Here and below, a submitter that has left needs no update.
             let _ = updates.send(JobUpdate::Ended(JobOutcome::Stopping));
             return;
         }
-        let queued = arrived.elapsed();
-        order.target_latency_left = order.target_latency_left.saturating_sub(queued);
-        order.deadline_left = order.deadline_left.saturating_sub(queued);
-        let (call, kept) = (order.call.clone(), order.retained.len());
-        if kept > 0 {
+        let queued = arrived_at.elapsed();
+        spec.target_latency_left = spec.target_latency_left.saturating_sub(queued);
+        spec.deadline_left = spec.deadline_left.saturating_sub(queued);
+        let (call, retained) = (spec.call.clone(), spec.retained.len());
+        if retained > 0 {
             self.arguments
                 .counters
-                .add("pieces.handed-over", u64::try_from(kept).unwrap_or(0));
-            info!(call = call.as_str(), kept; "batches: job of an earlier owner");
+                .add("pieces.handed-over", u64::try_from(retained).unwrap_or(0));
+            info!(call = call.as_str(), kept = retained; "batches: continuing the job of an earlier owner");
         }
-        let taken = if self.keeping_up.is_behind() {
+        let accepted = if self.lag_detector.is_behind() {
             Err(JobRefusal {
-                retry_after: BEHIND_RETRY,
+                retry_after: OVERLOAD_RETRY_DELAY,
                 reason: JobFailure::Overloaded,
             })
         } else {
-            self.batcher.submit(order, now)
+            self.batcher.submit(spec, now)
         };
-        match taken {
+        match accepted {
             Ok(job) => {
-                let taken_at = Instant::now();
-                let waiting = Waiting {
+                let accepted_at = Instant::now();
+                let pending_job = PendingJob {
                     call,
                     updates,
-                    taken_at,
+                    accepted_at,
                 };
-                self.waiting.insert(job, waiting);
-                // The submitter has left: nobody would release the job.
-                if id.send(job).is_err() {
-                    self.waiting.remove(&job);
+                self.pending.insert(job, pending_job);
+                // The submitter has left, so nothing else would release the job.
+                if job_id.send(job).is_err() {
+                    self.pending.remove(&job);
                     self.batcher.release(job);
                 }
             }
@@ -257,54 +258,60 @@
         }
     }
 
-    /// Leaves jobs to the next owner once no call works on them, with what is made of them.
+    /// While stopping, ends jobs without a running call, so that the next owner continues them with
+    /// their results.
     fn hand_over(&mut self) {
         for job in self.batcher.hand_over() {
-            if let Some(waiting) = self.waiting.remove(&job) {
-                let _ = waiting.updates.send(JobUpdate::Ended(JobOutcome::Stopping));
+            if let Some(pending_job) = self.pending.remove(&job) {
+                let _ = pending_job
+                    .updates
+                    .send(JobUpdate::Ended(JobOutcome::Stopping));
             }
         }
     }
 
-    fn take_servers(&mut self) {
+    fn update_servers(&mut self) {
         let Some(routing) = self.arguments.cluster_view.routing() else {
             return;
         };
         let servers = self.arguments.cluster_view.servers();
         let own = self.arguments.cell.servers(servers.all());
         let now = self.arguments.cluster_view.clock().now();
-        let bounds = self.arguments.cold_allowance;
-        let with_use = own.into_iter().map(|server| {
-            let terms = routing.cold_terms(&server.service, bounds);
-            (server, servers.availability_of(server, terms, now))
+        let cold_allowance = self.arguments.cold_allowance;
+        let with_availability = own.into_iter().map(|server| {
+            let cold_limits = routing.cold_terms(&server.service, cold_allowance);
+            (server, servers.availability_of(server, cold_limits, now))
         });
-        self.batcher.set_servers(&routing, with_use, now);
+        self.batcher.set_servers(&routing, with_availability, now);
     }
 
-    /// One call that frees results a server at a time: what comes meanwhile goes with the next.
+    /// Sends free requests, at most one at a time to each server; results released meanwhile go
+    /// with the next one.
     ///
-    /// Nothing is sent to an evacuated zone, these calls neither, and a limited server takes calls that
-    /// make pieces instead; their results lapse by themselves.
-    fn send_frees(&mut self, myself: &ActorRef<BatchOwnerMessage>) {
-        let freeing = &self.freeing;
+    /// Nothing is sent to an evacuated zone, and a rate-limited server's calls are left to batches;
+    /// such servers expire the results themselves.
+    fn send_free_requests(&mut self, myself: &ActorRef<BatchOwnerMessage>) {
+        let servers_freeing = &self.servers_freeing;
         let servers = self.arguments.cluster_view.servers();
-        let takes_none = |life: &ServerIncarnation| {
-            let server_use = servers.availability(life, None, Duration::ZERO);
+        let is_excluded = |incarnation: &ServerIncarnation| {
+            let availability = servers.availability(incarnation, None, Duration::ZERO);
             matches!(
-                server_use,
+                availability,
                 ServerAvailability::Evacuated | ServerAvailability::Limited { .. }
             )
         };
-        let is_wanted = |life: &ServerIncarnation| !freeing.contains(life) && !takes_none(life);
-        for frees in self.batcher.take_free_requests(is_wanted) {
-            self.freeing.insert(frees.server.clone());
+        let may_free = |incarnation: &ServerIncarnation| {
+            !servers_freeing.contains(incarnation) && !is_excluded(incarnation)
+        };
+        for free_request in self.batcher.take_free_requests(may_free) {
+            self.servers_freeing.insert(free_request.server.clone());
             let myself = myself.clone();
             let pool = Arc::clone(&self.arguments.pool);
             let dialect = Arc::clone(&self.arguments.dialect);
             tokio::spawn(async move {
-                call_free(&dialect, &pool, &frees).await;
+                send_free_request(&dialect, &pool, &free_request).await;
                 // The actor ends only with the process.
-                let _ = myself.send_message(BatchOwnerMessage::Freed(frees));
+                let _ = myself.send_message(BatchOwnerMessage::ResultsFreed(free_request));
             });
         }
     }
@@ -322,27 +329,28 @@
             let latencies = Arc::clone(&self.arguments.latencies);
             tokio::spawn(async move {
                 let started = Instant::now();
-                let CallEnd { end, told } = run_batch(&caller, &batch).await;
+                let CallEnd { end, reported_load } = run_batch(&caller, &batch).await;
                 latencies.record(&format!("call.{}", batch.service), started.elapsed());
                 // The actor ends only with the process.
-                let _ = myself.send_message(BatchOwnerMessage::Ended(batch.id, end, told));
+                let _ =
+                    myself.send_message(BatchOwnerMessage::CallEnded(batch.id, end, reported_load));
             });
         }
     }
 
-    fn tell(&mut self) {
+    fn deliver_events(&mut self) {
         for event in self.batcher.take_events() {
-            let (job, answer) = match event {
+            let (job, outcome) = match event {
                 JobEvent::ResultsStored(job, pieces) => {
-                    self.tell_news(job, JobUpdate::Made(pieces));
+                    self.send_update(job, JobUpdate::Made(pieces));
                     continue;
                 }
                 JobEvent::ConnectionLost(job, server, address) => {
-                    self.tell_news(job, JobUpdate::CutOff { server, address });
+                    self.send_update(job, JobUpdate::CutOff { server, address });
                     continue;
                 }
                 JobEvent::ResultsDropped(job, stage) => {
-                    self.tell_news(job, JobUpdate::Dropped(stage));
+                    self.send_update(job, JobUpdate::Dropped(stage));
                     continue;
                 }
                 JobEvent::Done(job, handles, times) => {
@@ -350,43 +358,43 @@
                     (job, JobOutcome::Done(handles))
                 }
                 JobEvent::Failed(job, failure) => {
-                    self.log_given_up(job, failure);
+                    self.log_failed(job, failure);
                     (job, JobOutcome::Failed(failure))
                 }
             };
-            if let Some(waiting) = self.waiting.remove(&job) {
-                let _ = waiting.updates.send(JobUpdate::Ended(answer));
+            if let Some(pending_job) = self.pending.remove(&job) {
+                let _ = pending_job.updates.send(JobUpdate::Ended(outcome));
             }
         }
     }
 
-    fn tell_news(&self, job: JobId, news: JobUpdate) {
-        if let Some(waiting) = self.waiting.get(&job) {
-            let _ = waiting.updates.send(news);
+    fn send_update(&self, job: JobId, update: JobUpdate) {
+        if let Some(pending_job) = self.pending.get(&job) {
+            let _ = pending_job.updates.send(update);
         }
     }
 
     fn log_done(&self, job: JobId, times: &[StageTimes]) {
-        let Some(waiting) = self.waiting.get(&job) else {
+        let Some(pending_job) = self.pending.get(&job) else {
             return;
         };
-        let shown = times
+        let formatted = times
             .iter()
             .map(|stage| format!("{}+{}", stage.waited.as_millis(), stage.worked.as_millis()));
-        let shown: Vec<_> = shown.collect();
+        let formatted: Vec<_> = formatted.collect();
         info!(
-            call = waiting.call.as_str(), stages_waited_worked_ms = shown.join(",");
+            call = pending_job.call.as_str(), stages_waited_worked_ms = formatted.join(",");
             "batches: pieces made"
         );
     }
 
-    fn log_given_up(&self, job: JobId, failure: JobFailure) {
-        let Some(waiting) = self.waiting.get(&job) else {
+    fn log_failed(&self, job: JobId, failure: JobFailure) {
+        let Some(pending_job) = self.pending.get(&job) else {
             return;
         };
-        let ms = ms(waiting.taken_at.elapsed());
+        let ms = ms(pending_job.accepted_at.elapsed());
         info!(
-            call = waiting.call.as_str(), reason:% = failure, waiting = self.batcher.queued_stages(), ms;
+            call = pending_job.call.as_str(), reason:% = failure, waiting = self.batcher.queued_stages(), ms;
             "batches: job given up"
         );
     }
--- a/crates/amaranthscale/src/gateway/process/batch_owner_handle.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_owner_handle.rs
@@ -1,4 +1,4 @@
-//! Gives jobs to the owner of the batches in this process.
+//! Submits jobs to a batch owner in this process.
 
 use amaranthscale_core::process::{JobId, JobSpec};
 use ractor::ActorRef;
@@ -7,46 +7,46 @@
 
 use super::{BatchOwnerMessage, JobSource, JobUpdate, Submission};
 
-/// The owner of the batches, as requests and peers see it.
+/// Handle to a batch owner, for requests and peers.
 #[derive(Debug, Clone)]
 pub struct BatchOwnerHandle {
     actor: ActorRef<BatchOwnerMessage>,
 }
 
-/// A job that is released when this is dropped.
+/// Releases a job when dropped.
 ///
-/// Guards against results that nobody frees: a caller that leaves, a request that fails and a
-/// connection to a peer that ends all drop it.
+/// A caller that disconnects, a request that fails and a peer's connection that ends all drop it,
+/// so that no results stay unfreed.
 #[derive(Debug)]
-pub struct OwnedJob {
+pub struct JobGuard {
     job: JobId,
     actor: ActorRef<BatchOwnerMessage>,
 }
 
-/// A job and what its owner tells of it.
+/// A submitted job and its updates.
 #[derive(Debug)]
 pub struct RunningJob {
-    /// Keeps it; none if it was not taken.
-    pub owned: Option<OwnedJob>,
-    /// The end of this without [`JobUpdate::Ended`] means that the owner is about to stop.
+    /// Keeps the job alive; `None` if it was not accepted.
+    pub guard: Option<JobGuard>,
+    /// Updates; a channel that ends without [`JobUpdate::Ended`] means that the owner is stopping.
     pub updates: mpsc::UnboundedReceiver<JobUpdate>,
 }
 
 impl RunningJob {
-    /// No job: the owner is about to stop.
+    /// A job that was not accepted, as the owner is stopping.
     #[must_use]
-    pub fn none() -> Self {
+    pub fn rejected() -> Self {
         let (_sender, updates) = mpsc::unbounded_channel();
         Self {
-            owned: None,
+            guard: None,
             updates,
         }
     }
 }
 
-impl Drop for OwnedJob {
+impl Drop for JobGuard {
     fn drop(&mut self) {
-        // Without its actor the process is ending, and the results lapse by themselves.
+        // Without its actor the process is exiting, and the servers expire the results.
         let _ = self
             .actor
             .send_message(BatchOwnerMessage::Release(self.job));
@@ -54,35 +54,35 @@
 }
 
 impl BatchOwnerHandle {
-    /// A handle of the actor.
+    /// Creates a handle to the actor.
     #[must_use]
     pub const fn new(actor: ActorRef<BatchOwnerMessage>) -> Self {
         Self { actor }
     }
 
-    /// Has a request's pieces made; the results are kept until the job is dropped.
-    pub async fn submit(&self, order: JobSpec, source: JobSource) -> RunningJob {
-        let (id, job) = oneshot::channel();
+    /// Submits a job; its results are retained until the job is dropped.
+    pub async fn submit(&self, spec: JobSpec, source: JobSource) -> RunningJob {
+        let (job_id, job) = oneshot::channel();
         let (sender, updates) = mpsc::unbounded_channel();
         let submit = BatchOwnerMessage::Submit(Submission {
-            order,
-            id,
+            spec,
+            job_id,
             updates: sender,
             source,
-            arrived: Instant::now(),
+            arrived_at: Instant::now(),
         });
         if self.actor.send_message(submit).is_err() {
-            return RunningJob::none();
+            return RunningJob::rejected();
         }
-        let owned = job.await.ok().map(|job| OwnedJob {
+        let guard = job.await.ok().map(|job| JobGuard {
             job,
             actor: self.actor.clone(),
         });
-        RunningJob { owned, updates }
+        RunningJob { guard, updates }
     }
 
-    /// Tells the owner of a change, or to stop.
-    pub fn tell(&self, message: BatchOwnerMessage) {
+    /// Notifies the owner of a change, or to stop.
+    pub fn notify(&self, message: BatchOwnerMessage) {
         // The actor ends only with the process.
         let _ = self.actor.send_message(message);
     }
--- a/crates/amaranthscale/src/gateway/process/batch_owners.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_owners.rs
@@ -1,7 +1,7 @@
-//! The owners of batches in this process, one for each cell that was asked for.
+//! The batch owners in this process, one for each cell that has received a job.
 //!
-//! Most gateways own no cell, and one owns a second one only while another gateway is silent, so an
-//! owner is started by its first job.
+//! Most gateways own no cell, and a gateway owns a second one only while another gateway is
+//! unresponsive, so an owner is started by its first job.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -14,13 +14,13 @@
     BatchOwner, BatchOwnerArguments, BatchOwnerHandle, BatchOwnerMessage, JobSource, RunningJob,
 };
 
-/// The owners of batches, by cell.
+/// The batch owners, by cell.
 #[derive(Debug)]
 pub struct BatchOwners {
     arguments: BatchOwnerArguments,
     state: Mutex<State>,
-    /// Held while an owner starts, so that a cell never gets two.
-    starting: tokio::sync::Mutex<()>,
+    /// Locked while an owner starts, so that a cell never gets two.
+    start_lock: tokio::sync::Mutex<()>,
 }
 
 #[derive(Debug, Default)]
@@ -30,43 +30,44 @@
 }
 
 impl BatchOwners {
-    /// No owners; those to come start with these arguments and their cell.
+    /// Creates the set without owners; each is started with these arguments and its own cell.
     #[must_use]
     pub fn new(arguments: BatchOwnerArguments) -> Self {
         Self {
             arguments,
             state: Mutex::default(),
-            starting: tokio::sync::Mutex::default(),
+            start_lock: tokio::sync::Mutex::default(),
         }
     }
 
-    /// Has a request's pieces made by its cell; the results are kept until the job is dropped.
-    pub async fn submit(&self, order: JobSpec, source: JobSource) -> RunningJob {
-        match self.owner(order.cell, source).await {
-            Some(owner) => owner.submit(order, source).await,
-            None => RunningJob::none(),
+    /// Submits a job to its cell's owner; the results are retained until the job is dropped.
+    pub async fn submit(&self, spec: JobSpec, source: JobSource) -> RunningJob {
+        match self.owner(spec.cell, source).await {
+            Some(owner) => owner.submit(spec, source).await,
+            None => RunningJob::rejected(),
         }
     }
 
-    /// Tells the owners that routing or servers have changed.
-    pub fn tell_changed(&self) {
+    /// Notifies the owners that routing or servers have changed.
+    pub fn notify_changed(&self) {
         for owner in self.state().owners.values() {
-            owner.tell(BatchOwnerMessage::Changed);
+            owner.notify(BatchOwnerMessage::ClusterChanged);
         }
     }
 
-    /// Lets the owners take no more jobs, and starts no more owners.
+    /// Stops the owners from accepting jobs of other gateways.
     pub fn stop(&self) {
         let mut state = self.state();
         state.is_stopping = true;
         for owner in state.owners.values() {
-            owner.tell(BatchOwnerMessage::Stop);
+            owner.notify(BatchOwnerMessage::Stop);
         }
     }
 
-    /// The owner of a cell; none for others if this gateway is about to stop.
+    /// The owner of a cell, started if needed; `None` for a peer's job while this gateway is
+    /// stopping.
     async fn owner(&self, cell: Cell, source: JobSource) -> Option<BatchOwnerHandle> {
-        // Whatever a peer names beyond what can be is refused by the whole's owner.
+        // A peer's job with an invalid cell goes to the owner of `Cell::SINGLE`, which refuses it.
         let cell = if cell.is_well_formed() {
             cell
         } else {
@@ -75,11 +76,11 @@
         if self.state().is_stopping && source == JobSource::Peer {
             return None;
         }
-        if let Some(owner) = self.running(cell) {
+        if let Some(owner) = self.started_owner(cell) {
             return Some(owner);
         }
-        let _starting = self.starting.lock().await;
-        if let Some(owner) = self.running(cell) {
+        let _starting = self.start_lock.lock().await;
+        if let Some(owner) = self.started_owner(cell) {
             return Some(owner);
         }
         let arguments = BatchOwnerArguments {
@@ -97,12 +98,12 @@
         let mut state = self.state();
         state.owners.insert(cell, started.clone());
         if state.is_stopping {
-            started.tell(BatchOwnerMessage::Stop);
+            started.notify(BatchOwnerMessage::Stop);
         }
         Some(started)
     }
 
-    fn running(&self, cell: Cell) -> Option<BatchOwnerHandle> {
+    fn started_owner(&self, cell: Cell) -> Option<BatchOwnerHandle> {
         self.state().owners.get(&cell).cloned()
     }
 
--- /dev/null
+++ b/crates/amaranthscale/src/gateway/process/gateway_context.rs
@@ -0,0 +1,96 @@
+//! State shared by all requests of a gateway.
+
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+
+use amaranthscale_core::id::{InstanceId, ServiceId, ZoneId};
+use amaranthscale_core::process::{ConnectionShare, ServerSelector};
+
+use super::super::Dialect;
+use super::super::connection::ConnectionPool;
+use super::super::version::{ClusterView, HandedOn};
+use super::{
+    BatchOwners, CrashTracker, FirstEventEstimators, LimitTracker, RetryBudgets, SendShares,
+    ShutdownGate,
+};
+use crate::connection::PeerClient;
+use crate::process::{Counters, Latencies};
+
+/// State shared by all requests.
+#[derive(Debug)]
+pub struct GatewayContext {
+    /// Id of this incarnation of the gateway.
+    pub instance: InstanceId,
+    /// Availability zone of the gateway.
+    pub zone: ZoneId,
+    /// Routing, servers and gateways.
+    pub cluster_view: Arc<ClusterView>,
+    /// Idle connections to servers.
+    pub pool: Arc<ConnectionPool>,
+    /// Headers and formats of callers and servers.
+    pub dialect: Arc<Dialect>,
+    /// Retry budgets by service.
+    pub retry_budgets: RetryBudgets,
+    /// Estimates of the engines' time to the first event.
+    pub first_event_estimators: FirstEventEstimators,
+    /// This gateway's shares of sends to cold and rate-limited servers.
+    pub send_shares: SendShares,
+    /// Rate limits that servers report.
+    pub limits: Arc<LimitTracker>,
+    /// The batch owners in this process.
+    pub batch_owners: Arc<BatchOwners>,
+    /// Connections to other gateways.
+    pub peers: Arc<PeerClient>,
+    /// Copies of the store's tables, relayed to other gateways.
+    pub handed_on: Arc<HandedOn>,
+    /// Counts of answers, refusals and retries.
+    pub counters: Arc<Counters>,
+    /// Latencies by part of a request and by stage service.
+    pub latencies: Arc<Latencies>,
+    /// Open requests and the state of a shutdown.
+    pub shutdown: Arc<ShutdownGate>,
+    /// Maximum age of the routing at which a key is accepted.
+    pub max_key_age: std::time::Duration,
+    /// Maximum age of the routing at which the gateway is ready.
+    pub max_ready_age: std::time::Duration,
+    /// Time after which a routing that is known to be replaced is no longer used.
+    pub max_routing_lag: std::time::Duration,
+    /// Crashed servers and the requests suspected of crashing them.
+    pub crashes: Arc<CrashTracker>,
+    /// Selects servers by the load and health that earlier sends showed.
+    pub server_selector: Mutex<ServerSelector>,
+}
+
+impl GatewayContext {
+    /// Takes one retry from the service's budget, which all gateways share, and counts the result.
+    pub fn try_retry(&self, service: &ServiceId) -> bool {
+        let now = self.cluster_view.clock().now();
+        let is_granted = self
+            .retry_budgets
+            .try_retry(service, self.cluster_view.live(), now);
+        let name = if is_granted {
+            "repeat.sent"
+        } else {
+            "repeat.over-budget"
+        };
+        self.counters.count(name);
+        is_granted
+    }
+
+    /// This gateway's share of the connections that a service's servers accept.
+    pub fn connection_share(&self, service: &ServiceId) -> ConnectionShare {
+        let routing = self.cluster_view.routing();
+        let pool = routing.as_ref().and_then(|routing| routing.pool(service));
+        pool.map_or(ConnectionShare::UNLIMITED, |pool| {
+            let servers = self.cluster_view.servers();
+            let servers = servers.usable(service).count();
+            ConnectionShare::of(pool.max_connections, servers, self.cluster_view.live())
+        })
+    }
+
+    /// The server selector; the lock is held for single decisions only.
+    pub fn server_selector(&self) -> MutexGuard<'_, ServerSelector> {
+        self.server_selector
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+    }
+}
--- a/crates/amaranthscale/src/gateway/process/limit_tracker.rs
+++ b/crates/amaranthscale/src/gateway/process/limit_tracker.rs
@@ -1,4 +1,5 @@
-//! Heeds the limits that servers name, and tells the other gateways of them through the store.
+//! Applies the rate limits that servers report, and publishes them to other gateways through the
+//! store.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -13,34 +14,34 @@
 use super::super::{Clock, Dialect};
 use crate::process::Counters;
 
-/// The limits that servers have named, and what of them is still to be told.
+/// The rate limits that servers have reported, and which of them are not published yet.
 #[derive(Debug)]
 pub struct LimitTracker {
     clock: Clock,
     cluster_view: Arc<ClusterView>,
     counters: Arc<Counters>,
-    words: Mutex<ReportedLimits>,
-    to_tell: Notify,
+    reported: Mutex<ReportedLimits>,
+    publish_requested: Notify,
 }
 
 impl LimitTracker {
-    /// A watch that has heard of no limit.
+    /// Creates a tracker without limits.
     #[must_use]
     pub fn new(clock: Clock, cluster_view: Arc<ClusterView>, counters: Arc<Counters>) -> Self {
         Self {
             clock,
             cluster_view,
             counters,
-            words: Mutex::default(),
-            to_tell: Notify::new(),
+            reported: Mutex::default(),
+            publish_requested: Notify::new(),
         }
     }
 
-    /// Takes what the head of an answer says to a request that left for a server at a time.
+    /// Records the limit in the head of a server's answer to a request sent at `sent_at`.
     ///
-    /// Only an answer to what ran ends a limit by not naming it: a rejection may come from what stands
-    /// before the server. What another server at its address says is not its word.
-    pub(crate) fn heard(
+    /// An answer without a limit ends the limit only if the request ran, as a rejection may come
+    /// from a proxy in front of the server. Answers of another server at its address are ignored.
+    pub(crate) fn record_answer(
         &self,
         dialect: &Dialect,
         server: &ServerIncarnation,
@@ -55,89 +56,94 @@
             Ok(limit) => limit,
             Err(error) => {
                 self.counters.count("limits.invalid");
-                info!(server:% = server, reason:% = error; "servers: limit cannot be read");
+                info!(server:% = server, reason:% = error; "servers: invalid limit reported");
                 return;
             }
         };
-        let mut words = self.words();
-        if limit.is_none() && (!has_run || words.is_empty()) {
+        let mut reported = self.reported();
+        if limit.is_none() && (!has_run || reported.is_empty()) {
             return;
         }
         let now = self.clock.now();
         let sent_at = now.saturating_sub(sent_at.elapsed());
-        if words.record_answer(server, limit, sent_at, now) {
-            drop(words);
-            self.changed(server, limit, "answer");
-            self.to_tell.notify_one();
+        if reported.record_answer(server, limit, sent_at, now) {
+            drop(reported);
+            self.apply_change(server, limit, "answer");
+            self.publish_requested.notify_one();
         }
     }
 
-    /// Takes what another gateway told of a server; none where its word was removed.
-    pub(crate) fn take(&self, server: &ServerIncarnation, limit: Option<ServerLimit>) {
+    /// Applies a limit that another gateway published; `None` where it was removed.
+    pub(crate) fn apply_published(&self, server: &ServerIncarnation, limit: Option<ServerLimit>) {
         if self
-            .words()
+            .reported()
             .apply_published(server, limit, self.clock.now())
         {
-            self.changed(server, limit, "store");
+            self.apply_change(server, limit, "store");
         }
-        // What this gateway knows better is told again.
-        self.to_tell.notify_one();
+        // A newer report of this gateway is published again.
+        self.publish_requested.notify_one();
     }
 
-    /// Takes which servers' words a whole table holds.
-    pub(crate) fn keep_only(&self, named: &[ServerIncarnation]) {
-        let ended = self.words().retain_published(named);
+    /// Drops published limits that a full read of the table does not contain.
+    pub(crate) fn retain_published(&self, named: &[ServerIncarnation]) {
+        let ended = self.reported().retain_published(named);
         for server in ended {
-            self.changed(&server, None, "store");
+            self.apply_change(&server, None, "store");
         }
-        self.to_tell.notify_one();
+        self.publish_requested.notify_one();
     }
 
-    /// Waits until there may be something to tell.
-    pub(super) async fn to_tell(&self) {
-        self.to_tell.notified().await;
+    /// Waits until there may be something to publish.
+    pub(super) async fn publish_requested(&self) {
+        self.publish_requested.notified().await;
     }
 
-    /// Has a word told later that could not be told now.
-    pub(super) fn tell_again(&self) {
-        self.to_tell.notify_one();
+    /// Requests another round of publication after a failed write.
+    pub(super) fn request_publish(&self) {
+        self.publish_requested.notify_one();
     }
 
-    /// Words that this gateway heard and the store does not say.
-    pub(super) fn untold(&self) -> Vec<(ServerIncarnation, Option<ServerLimit>)> {
-        self.words().unpublished()
+    /// Reports received by this gateway that differ from the store.
+    pub(super) fn unpublished(&self) -> Vec<(ServerIncarnation, Option<ServerLimit>)> {
+        self.reported().unpublished()
     }
 
-    /// Notes that the store has taken a word.
-    pub(super) fn stored(&self, server: &ServerIncarnation, limit: Option<ServerLimit>) {
-        self.words().mark_published(server, limit);
+    /// Records that the store has accepted a report.
+    pub(super) fn mark_published(&self, server: &ServerIncarnation, limit: Option<ServerLimit>) {
+        self.reported().mark_published(server, limit);
     }
 
-    /// Forgets servers that are gone; names those of which the store still says something.
-    pub(super) fn forget_gone(&self) -> Vec<ServerIncarnation> {
+    /// Drops servers that are no longer listed; returns those that still have a row in the store.
+    pub(super) fn remove_unlisted(&self) -> Vec<ServerIncarnation> {
         let servers = self.cluster_view.servers();
-        self.words()
+        self.reported()
             .remove_unlisted(|server| servers.is_listed(server))
     }
 
     /// Servers with a limit, for operators.
     pub(crate) fn limits(&self) -> Vec<(ServerIncarnation, ServerLimit)> {
-        self.words().limits()
+        self.reported().limits()
     }
 
-    fn changed(&self, server: &ServerIncarnation, limit: Option<ServerLimit>, by: &'static str) {
+    fn apply_change(
+        &self,
+        server: &ServerIncarnation,
+        limit: Option<ServerLimit>,
+        by: &'static str,
+    ) {
         self.cluster_view
             .change_servers(|servers, _now| servers.set_limit(server, limit));
         if let Some(limit) = limit {
             self.counters.count_reason("limits.named", by);
-            info!(server:% = server, per_s:% = limit, by; "servers: limit named");
+            info!(server:% = server, per_s:% = limit, by; "servers: limit reported");
         } else {
             self.counters.count_reason("limits.ended", by);
             info!(server:% = server, by; "servers: limit ended");
         }
     }
 
-    fn words(&self) -> MutexGuard<'_, ReportedLimits> {
-        self.words.lock().unwrap_or_else(PoisonError::into_inner)
+    fn reported(&self) -> MutexGuard<'_, ReportedLimits> {
+        self.reported.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- /dev/null
+++ b/crates/amaranthscale/src/gateway/process/server_selection.rs
@@ -0,0 +1,183 @@
+//! Selects a server for a request, and checks again just before the send.
+
+use std::time::Duration;
+
+use amaranthscale_core::ResultCode;
+use amaranthscale_core::id::ServiceId;
+use amaranthscale_core::process::{
+    ColdLimits, LoadSnapshot, SendRateLimit, ServerAvailability, ServerList, ServerRecord,
+    ServerSelector, UsableServers,
+};
+
+use super::GatewayContext;
+use super::send_shares::ShareInputs;
+
+/// Why no server of a service can be chosen.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct NoServerAvailable {
+    /// The result code.
+    pub code: ResultCode,
+    /// Time until this gateway may send to a rate-limited server of the service again, if that is
+    /// the reason.
+    pub retry_after: Option<Duration>,
+}
+
+impl GatewayContext {
+    /// Chooses a server of a service by `select`; also returns the load on which the choice was
+    /// based.
+    pub fn choose_server(
+        &self,
+        service: &ServiceId,
+        select: impl for<'a> FnOnce(
+            &ServerSelector,
+            UsableServers<'a>,
+            Duration,
+        ) -> Option<&'a ServerRecord>,
+    ) -> Option<(ServerRecord, LoadSnapshot)> {
+        let servers = self.cluster_view.servers();
+        let now = self.cluster_view.clock().now();
+        let usable = self.usable_servers(&servers, service, now);
+        let server_selector = self.server_selector();
+        let chosen = select(&server_selector, usable, now)?.clone();
+        let load = server_selector.load_snapshot(&chosen.incarnation, now);
+        drop(server_selector);
+        self.record_choice(&servers, &chosen, now);
+        Some((chosen, load))
+    }
+
+    /// Servers of a service that may be chosen now.
+    fn usable_servers<'a>(
+        &self,
+        servers: &'a ServerList,
+        service: &'a ServiceId,
+        now: Duration,
+    ) -> UsableServers<'a> {
+        let cold_limits = self.cold_limits(service);
+        // Computed once for all servers of the service, as it takes a pass over the list.
+        let mut inputs = None;
+        let mut usable = UsableServers::default();
+        for server in servers.not_leaving(service) {
+            let availability = servers.availability_of(server, cold_limits, now);
+            if availability == ServerAvailability::Free {
+                usable.free.push(server);
+            }
+            let Some(rate_limit) = availability.rate_limit() else {
+                continue;
+            };
+            let inputs =
+                inputs.get_or_insert_with(|| self.share_inputs(servers, service, rate_limit));
+            inputs.rate_limit = rate_limit;
+            if !self
+                .send_shares
+                .can_choose(&server.incarnation, inputs, now)
+            {
+                continue;
+            }
+            match rate_limit {
+                SendRateLimit::Cold { .. } => usable.cold.push(server),
+                SendRateLimit::Limited { .. } => usable.free.push(server),
+            }
+        }
+        usable
+    }
+
+    /// Counts a choice of a server if the rate of sends to it is limited.
+    fn record_choice(&self, servers: &ServerList, server: &ServerRecord, now: Duration) {
+        let cold_limits = self.cold_limits(&server.service);
+        if let Some(rate_limit) = servers
+            .availability_of(server, cold_limits, now)
+            .rate_limit()
+        {
+            let inputs = self.share_inputs(servers, &server.service, rate_limit);
+            self.send_shares
+                .record_choice(&server.incarnation, &inputs, now);
+        }
+    }
+
+    /// Checks just before a send that the server may still be used; the error is the reason why
+    /// not. A send to a cold or rate-limited server is taken from this gateway's share.
+    ///
+    /// The server may have changed since it was chosen: stage results take most of a second, a
+    /// connection some hundred milliseconds, and a process that was frozen resumes with its old
+    /// choices.
+    pub fn try_reserve_send(&self, server: &ServerRecord) -> Result<(), ServerAvailability> {
+        let servers = self.cluster_view.servers();
+        let now = self.cluster_view.clock().now();
+        let cold_limits = self.cold_limits(&server.service);
+        let availability = servers.availability(&server.incarnation, cold_limits, now);
+        let may_send = if let Some(rate_limit) = availability.rate_limit() {
+            let inputs = self.share_inputs(&servers, &server.service, rate_limit);
+            self.send_shares.try_send(&server.incarnation, &inputs, now)
+        } else {
+            availability == ServerAvailability::Free
+        };
+        if availability == ServerAvailability::Free && cold_limits.is_some() {
+            self.send_shares.record_send(&server.incarnation, now);
+        }
+        if may_send {
+            return Ok(());
+        }
+        self.counters
+            .count_reason("servers.withheld", availability.name());
+        Err(availability)
+    }
+
+    /// Why no server of a service can be chosen now.
+    pub fn no_server_available(&self, service: &ServiceId) -> NoServerAvailable {
+        let servers = self.cluster_view.servers();
+        let now = self.cluster_view.clock().now();
+        let cold_limits = self.cold_limits(service);
+        let not_leaving = servers.not_leaving(service);
+        let availabilities: Vec<_> = not_leaving
+            .map(|server| (server, servers.availability_of(server, cold_limits, now)))
+            .collect();
+        // Unlimited servers, if there are any, were tried already; the shares of the others are
+        // used up.
+        let is_any = |holds: fn(&ServerAvailability) -> bool| {
+            availabilities.iter().any(|(_, one)| holds(one))
+        };
+        let code = if is_any(|one| matches!(one, ServerAvailability::Limited { .. })) {
+            ResultCode::ServersLimited
+        } else if is_any(|one| matches!(one, ServerAvailability::Cold { .. })) {
+            ResultCode::ServersCold
+        } else if !availabilities.is_empty() && !is_any(|one| *one != ServerAvailability::Evacuated)
+        {
+            ResultCode::ZonesEvacuated
+        } else {
+            ResultCode::NoBackendServer
+        };
+        let limited = availabilities
+            .iter()
+            .filter(|_| code == ResultCode::ServersLimited);
+        let choice_times = limited.filter_map(|(server, availability)| {
+            let inputs = self.share_inputs(&servers, service, availability.rate_limit()?);
+            self.send_shares
+                .next_choice_at(&server.incarnation, &inputs, now)
+        });
+        NoServerAvailable {
+            code,
+            retry_after: choice_times.min().map(|at| at.saturating_sub(now)),
+        }
+    }
+
+    /// Limits of a service's cold servers.
+    fn cold_limits(&self, service: &ServiceId) -> Option<ColdLimits> {
+        let routing = self.cluster_view.routing()?;
+        routing.cold_terms(service, self.send_shares.cold_allowance())
+    }
+
+    fn share_inputs(
+        &self,
+        servers: &ServerList,
+        service: &ServiceId,
+        rate_limit: SendRateLimit,
+    ) -> ShareInputs {
+        let (own, gateways) = self.cluster_view.announced();
+        ShareInputs {
+            rate_limit,
+            servers: servers.not_leaving(service).count(),
+            own,
+            gateways,
+        }
+    }
+}
--- a/crates/amaranthscale/src/gateway/process/single_run.rs
+++ b/crates/amaranthscale/src/gateway/process/single_run.rs
@@ -1,4 +1,4 @@
-//! The one run at a time that a suspected request is allowed.
+//! The single run at a time that a suspected request is allowed.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,91 +9,91 @@
 use log::{info, warn};
 
 use super::super::version::{write_store_if, write_store_until_taken};
-use super::CrashWatch;
+use super::CrashTracker;
 
-/// Time after a run that was cut off for which its claim stays: by then what it crashed is told.
-const KEPT_AFTER_LOSS: Duration = Duration::from_secs(2);
+/// Time for which the claim of a lost run stays; by then evidence of a crash is published.
+const CLAIM_RETENTION_AFTER_LOSS: Duration = Duration::from_secs(2);
 /// Pause after a failed removal.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// A run that all gateways know of; the claim on it ends some time after this is dropped.
+/// A run claimed in the store; the claim is removed some time after this is dropped.
 ///
-/// Until then it counts as a crash for the others. Guards against a gateway that ends in the middle of
-/// the run: nobody else would know of the crash, and the request would be sent to more servers.
+/// Until then it counts as a crash at the other gateways. If this gateway fails during the run, no
+/// other gateway would learn of a crash, and the request would be sent to more servers.
 #[derive(Debug)]
 pub(crate) struct SingleRun {
     id: EvidenceId,
-    watch: Arc<CrashWatch>,
+    tracker: Arc<CrashTracker>,
     has_completed: AtomicBool,
-    /// Whether another gateway has the claim.
-    is_taken: bool,
+    /// Whether another gateway holds the claim.
+    is_claimed_elsewhere: bool,
 }
 
 impl SingleRun {
-    /// Claims the run of a request; none while another gateway has it.
+    /// Claims the run of a request; `None` while another gateway holds the claim.
     pub(super) async fn claim(
-        watch: Arc<CrashWatch>,
+        tracker: Arc<CrashTracker>,
         request: RequestFingerprint,
     ) -> Result<Option<Self>, String> {
         let id = claim_id(request);
         let mut evidence = CrashEvidence::default();
-        evidence.add_crash(&stand_in(watch.instance())?, request);
-        watch.claiming(&id);
-        let claim = (watch.store().publish_evidence_if_absent)(&id, &evidence);
+        evidence.add_crash(&placeholder_server(tracker.instance())?, request);
+        tracker.add_own_claim(&id);
+        let claim = (tracker.store().publish_evidence_if_absent)(&id, &evidence);
         let mut run = Self {
             id,
-            watch,
+            tracker,
             has_completed: AtomicBool::new(false),
-            is_taken: false,
+            is_claimed_elsewhere: false,
         };
-        // A write without an answer may have been made: dropped, the run takes it back.
-        if write_store_if(run.watch.store(), claim).await? {
-            info!(fingerprint:% = request; "quarantine: single run");
+        // A write without an answer may have been applied; dropping the run removes the claim.
+        if write_store_if(run.tracker.store(), claim).await? {
+            info!(fingerprint:% = request; "quarantine: single run claimed");
             return Ok(Some(run));
         }
-        run.is_taken = true;
+        run.is_claimed_elsewhere = true;
         Ok(None)
     }
 
-    /// Says that the run ended by itself.
-    pub(crate) fn completed(&self) {
+    /// Records that the run completed.
+    pub(crate) fn mark_completed(&self) {
         self.has_completed.store(true, Ordering::Release);
     }
 }
 
 impl Drop for SingleRun {
     fn drop(&mut self) {
-        if self.is_taken {
-            self.watch.released(&self.id);
+        if self.is_claimed_elsewhere {
+            self.tracker.remove_own_claim(&self.id);
             return;
         }
-        let (id, watch) = (self.id.clone(), Arc::clone(&self.watch));
-        let kept = if self.has_completed.load(Ordering::Acquire) {
+        let (id, tracker) = (self.id.clone(), Arc::clone(&self.tracker));
+        let retention = if self.has_completed.load(Ordering::Acquire) {
             Duration::ZERO
         } else {
-            KEPT_AFTER_LOSS
+            CLAIM_RETENTION_AFTER_LOSS
         };
         tokio::spawn(async move {
-            tokio::time::sleep(kept).await;
-            let store = watch.store();
+            tokio::time::sleep(retention).await;
+            let store = tracker.store();
             let remove_evidence = || (store.remove_evidence)(&id);
             let failed =
                 |reason: &str| warn!(evidence:% = id, reason; "quarantine: evidence not removed");
             write_store_until_taken(store, remove_evidence, RETRY_PAUSE, failed).await;
-            watch.released(&id);
+            tracker.remove_own_claim(&id);
         });
     }
 }
 
-/// The name under which a request's single run is claimed, the same at all gateways.
+/// Id of the claim of a request's single run, the same at all gateways.
 fn claim_id(request: RequestFingerprint) -> EvidenceId {
     let name = format!("single.{request}");
     name.parse()
-        .unwrap_or_else(|_error| unreachable!("a fingerprint makes a name"))
+        .unwrap_or_else(|_error| unreachable!("a fingerprint forms a valid evidence id"))
 }
 
-/// Stands for the server that a claimed run may crash.
-fn stand_in(instance: &InstanceId) -> Result<ServerIncarnation, String> {
+/// Placeholder for the server that a claimed run may crash.
+fn placeholder_server(instance: &InstanceId) -> Result<ServerIncarnation, String> {
     let name = format!("single:{instance}");
     name.parse().map_err(|error| format!("{error}"))
 }
--- a/crates/amaranthscale/src/gateway/request.rs
+++ b/crates/amaranthscale/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! What lives for one request: its head, its sends and its one answer.
+//! State with the life span of a request: its head, its sends and its one answer.
 
 mod answer;
 mod caller;
--- a/crates/amaranthscale/src/gateway/request/caller.rs
+++ b/crates/amaranthscale/src/gateway/request/caller.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 use super::super::clock::ms;
-use super::super::process::{GatewayParts, OpenRequest, SingleRun};
+use super::super::process::{GatewayContext, OpenRequest, SingleRun};
 use super::super::{RequestAttributes, RequestContent};
 use super::answer::AnswerBody;
 use super::engine_run::run_engine;
@@ -32,7 +32,7 @@
 pub(super) struct Admitted {
     pub(super) route: Arc<Route>,
     pub(super) work: RequestAttributes,
-    pub(super) content: RequestContent,
+    pub(super) request_content: RequestContent,
     /// The claim on its run, where it may be sent to one server at a time only.
     pub(super) single_run: OnceLock<SingleRun>,
     pub(super) rank: Rank,
@@ -48,13 +48,17 @@
     }
 
     /// Refuses a request under which servers crash, and claims the run of one under which some did.
-    pub(super) async fn check_held(&self, parts: &GatewayParts) -> Result<(), Refused> {
-        let held = parts.crashes.check(&self.content);
+    pub(super) async fn check_held(&self, context: &GatewayContext) -> Result<(), Refused> {
+        let held = context.crashes.check(&self.request_content);
         held.map_err(|crashed| Refused::new(self.held_back(crashed)))?;
         if self.single_run.get().is_some() {
             return Ok(());
         }
-        let Ok(claimed) = parts.crashes.claim(&self.content).await else {
+        let Ok(claimed) = context
+            .crashes
+            .claim_single_run(&self.request_content)
+            .await
+        else {
             let code = self.held_back(0);
             return Err(Refused::new(code).come_back_in(SINGLE_RUN_RETRY));
         };
@@ -66,17 +70,17 @@
     }
 
     /// Notes that a server ran the request to its end.
-    pub(super) fn completed(&self, parts: &GatewayParts) {
-        parts.crashes.completed(&self.content);
+    pub(super) fn completed(&self, context: &GatewayContext) {
+        context.crashes.record_completed_run(&self.request_content);
         if let Some(run) = self.single_run.get() {
-            run.completed();
+            run.mark_completed();
         }
     }
 
     /// Notes that the request is held back.
     pub(super) fn held_back(&self, crashed: usize) -> ResultCode {
         info!(
-            call = self.work.call.as_str(), fingerprint:% = self.content.fingerprint(), crashed;
+            call = self.work.call.as_str(), fingerprint:% = self.request_content.fingerprint(), crashed;
             "request: held back"
         );
         ResultCode::RequestQuarantined
@@ -85,31 +89,31 @@
 
 /// Answers one caller's request.
 pub async fn answer_caller(
-    parts: Arc<GatewayParts>,
+    context: Arc<GatewayContext>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     let arrived = Instant::now();
-    let open = parts.stop.enter();
+    let open = context.shutdown.enter();
     let (head, body) = request.into_parts();
-    let unanswered = Unanswered::new(&parts, &head, arrived);
-    let answered = take(&parts, &head, body, arrived, open).await;
+    let unanswered = Unanswered::new(&context, &head, arrived);
+    let answered = take(&context, &head, body, arrived, open).await;
     unanswered.answered();
     let mut response = match answered {
         Ok(response) => response,
         Err(refused) => {
-            log_refusal(&parts, &head, refused, arrived);
-            refused.response(&parts)
+            log_refusal(&context, &head, refused, arrived);
+            refused.response(&context)
         }
     };
-    if parts.stop.is_stopping() {
+    if context.shutdown.is_stopping() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
-    parts
+    context
         .counters
         .count_reason("answer", response.status().as_u16());
     // Of a stream this is the time to its head, which comes with its first event.
-    parts.latencies.record("answer", arrived.elapsed());
+    context.latencies.record("answer", arrived.elapsed());
     response
 }
 
@@ -118,17 +122,17 @@
 /// Guards against a request without a trace: a caller that leaves while its pieces are made ends the
 /// task that serves it, and no other line would name the request.
 struct Unanswered {
-    parts: Arc<GatewayParts>,
+    context: Arc<GatewayContext>,
     call: String,
     arrived: Instant,
     is_open: bool,
 }
 
 impl Unanswered {
-    fn new(parts: &Arc<GatewayParts>, head: &request::Parts, arrived: Instant) -> Self {
+    fn new(context: &Arc<GatewayContext>, head: &request::Parts, arrived: Instant) -> Self {
         Self {
-            parts: Arc::clone(parts),
-            call: call_name(parts, head).to_owned(),
+            context: Arc::clone(context),
+            call: call_name(context, head).to_owned(),
             arrived,
             is_open: true,
         }
@@ -142,7 +146,7 @@
 impl Drop for Unanswered {
     fn drop(&mut self) {
         if self.is_open {
-            self.parts.counters.count("caller.left");
+            self.context.counters.count("caller.left");
             info!(
                 call = self.call.as_str(), ms = ms(self.arrived.elapsed());
                 "request: caller left"
@@ -152,14 +156,19 @@
 }
 
 /// The caller's name of its send, as lines show it.
-fn call_name<'a>(parts: &GatewayParts, head: &'a request::Parts) -> &'a str {
-    let call = head.headers.get(&parts.dialect.headers.call);
+fn call_name<'a>(context: &GatewayContext, head: &'a request::Parts) -> &'a str {
+    let call = head.headers.get(&context.dialect.headers.call);
     call.and_then(|call| call.to_str().ok()).unwrap_or("-")
 }
 
-fn log_refusal(parts: &GatewayParts, head: &request::Parts, refused: Refused, arrived: Instant) {
-    let call = call_name(parts, head);
-    let version = parts
+fn log_refusal(
+    context: &GatewayContext,
+    head: &request::Parts,
+    refused: Refused,
+    arrived: Instant,
+) {
+    let call = call_name(context, head);
+    let version = context
         .cluster_view
         .routing()
         .map_or(0, |routing| routing.version().get());
@@ -171,20 +180,20 @@
 }
 
 async fn take(
-    parts: &Arc<GatewayParts>,
+    context: &Arc<GatewayContext>,
     head: &request::Parts,
     body: Incoming,
     arrived: Instant,
     open: OpenRequest,
 ) -> Result<Response<AnswerBody>, Refused> {
-    let routing = parts.cluster_view.routing();
+    let routing = context.cluster_view.routing();
     let routing = routing.ok_or(Refused::new(ResultCode::NotReady))?;
-    if parts.cluster_view.is_behind(parts.behind_after) {
+    if context.cluster_view.is_behind(context.max_routing_lag) {
         return Err(Refused::new(ResultCode::RoutingBehind));
     }
     let route = find_route(&routing, head)?;
-    let holder = check_key(parts, &routing, &route, head)?;
-    let work = (parts.dialect.parse_request_attributes)(&head.headers).map_err(|error| {
+    let holder = check_key(context, &routing, &route, head)?;
+    let work = (context.dialect.parse_request_attributes)(&head.headers).map_err(|error| {
         info!(reason:% = error; "request: head refused");
         Refused::new(ResultCode::MalformedRequest)
     })?;
@@ -194,8 +203,8 @@
     let service = route.service_for(&work.call).cloned();
     let service = service.ok_or(Refused::new(ResultCode::NoBackendServer))?;
     let host = host_of(head).to_owned();
-    let content = RequestContent::new(holder.clone(), host, head.uri.clone(), body.clone());
-    let outgoing = Outgoing::new(head, body, &parts.dialect, holder.as_deref());
+    let request_content = RequestContent::new(holder.clone(), host, head.uri.clone(), body.clone());
+    let outgoing = Outgoing::new(head, body, &context.dialect, holder.as_deref());
     let rank = Rank {
         organisation: holder.and_then(|holder| holder.priority).unwrap_or(0),
         route: route.priority,
@@ -203,18 +212,18 @@
     let admitted = Admitted {
         route,
         work,
-        content,
+        request_content,
         single_run: OnceLock::new(),
         rank,
         arrived,
         until,
     };
-    let now = parts.cluster_view.clock().now();
-    parts.budgets.request(&service, now);
+    let now = context.cluster_view.clock().now();
+    context.retry_budgets.record_request(&service, now);
     if admitted.route.kind.is_streaming() {
-        run_engine(parts, admitted, service, outgoing, open).await
+        run_engine(context, admitted, service, outgoing, open).await
     } else {
-        run_plain(parts, &admitted, &service, &outgoing).await
+        run_plain(context, &admitted, &service, &outgoing).await
     }
 }
 
@@ -234,7 +243,7 @@
 /// came from the store, the more may have changed. Beyond the bound nothing is believed, neither a
 /// known key nor an unknown one.
 fn check_key(
-    parts: &GatewayParts,
+    context: &GatewayContext,
     routing: &Routing,
     route: &Route,
     head: &request::Parts,
@@ -242,14 +251,14 @@
     if route.is_public || !routing.requires_keys() {
         return Ok(None);
     }
-    if parts
+    if context
         .cluster_view
         .age()
-        .is_none_or(|age| age > parts.key_age)
+        .is_none_or(|age| age > context.max_key_age)
     {
         return Err(Refused::new(ResultCode::KnowledgeStale));
     }
-    let key = head.headers.get(&parts.dialect.headers.key);
+    let key = head.headers.get(&context.dialect.headers.key);
     let key = key.and_then(|key| key.to_str().ok());
     let holder = key.and_then(|key| routing.holder(key));
     holder
--- a/crates/amaranthscale/src/gateway/request/engine_run.rs
+++ b/crates/amaranthscale/src/gateway/request/engine_run.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 use super::super::clock::ms;
-use super::super::process::{GatewayParts, MadePieces, OpenRequest, PiecesError, make_pieces};
+use super::super::process::{GatewayContext, JobError, JobResults, OpenRequest, run_job};
 use super::answer::{AnswerBody, passed_on, whole};
 use super::caller::Admitted;
 use super::outgoing::Outgoing;
@@ -36,7 +36,7 @@
 /// One request on its way through stages and engine.
 #[derive(Debug)]
 pub(super) struct EngineRun {
-    pub(super) parts: Arc<GatewayParts>,
+    pub(super) context: Arc<GatewayContext>,
     pub(super) admitted: Admitted,
     pub(super) service: ServiceId,
     pub(super) outgoing: Outgoing,
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub(super) struct Running {
     pub(super) begun: BegunAnswer,
-    pub(super) pieces: Option<MadePieces>,
+    pub(super) pieces: Option<JobResults>,
     pub(super) server: ServerIncarnation,
 }
 
@@ -70,7 +70,7 @@
     ///
     /// An engine that turns a request away has not taken them: they go on to the next engine. Made
     /// anew, they would come after the aim, and what was made would be thrown away.
-    Made(Option<MadePieces>),
+    Made(Option<JobResults>),
 }
 
 /// What one try at an engine came to.
@@ -84,14 +84,14 @@
 
 /// Runs a request; a begun stream is passed on by a task of its own.
 pub(super) async fn run_engine(
-    parts: &Arc<GatewayParts>,
+    context: &Arc<GatewayContext>,
     admitted: Admitted,
     service: ServiceId,
     outgoing: Outgoing,
     open: OpenRequest,
 ) -> Result<Response<AnswerBody>, Refused> {
     let mut run = EngineRun {
-        parts: Arc::clone(parts),
+        context: Arc::clone(context),
         admitted,
         service,
         outgoing,
@@ -115,14 +115,14 @@
     pub(super) async fn begin(&mut self) -> Result<Running, Refused> {
         let mut pieces = Pieces::Unmade;
         loop {
-            if let Err(refused) = self.admitted.check_held(&self.parts).await {
+            if let Err(refused) = self.admitted.check_held(&self.context).await {
                 return Err(self.refused_held(refused));
             }
-            let server = self
-                .choose()
-                .ok_or_else(|| Refused::none_usable(self.parts.none_usable(&self.service)))?;
+            let server = self.choose().ok_or_else(|| {
+                Refused::no_server_available(self.context.no_server_available(&self.service))
+            })?;
             // Counted from here on, so that requests which wait for pieces spread as well.
-            let sent = Sent::new(&self.parts, &server);
+            let sent = Sent::new(&self.context, &server);
             let made = match pieces {
                 Pieces::Unmade => self.pieces(&server).await?,
                 Pieces::Made(made) => made,
@@ -139,11 +139,11 @@
     async fn try_at(
         &mut self,
         server: &ServerRecord,
-        pieces: Option<MadePieces>,
+        pieces: Option<JobResults>,
         sent: Sent,
     ) -> Result<Tried, Refused> {
         let left = self.admitted.left();
-        let sending = send(&self.parts, &self.outgoing, &self.admitted, server, sent);
+        let sending = send(&self.context, &self.outgoing, &self.admitted, server, sent);
         let outcome = match tokio::time::timeout(left, sending).await {
             Ok(outcome) => outcome,
             Err(_elapsed) => return Err(Refused::new(ResultCode::DeadlinePassed)),
@@ -159,7 +159,7 @@
             }
             SendOutcome::NotSent => self.not_sent("not-sent", server)?,
             // It began to leave, its zone was evacuated or its share used up since it was chosen.
-            SendOutcome::Withheld(server_use) => self.not_sent(server_use.name(), server)?,
+            SendOutcome::Withheld(availability) => self.not_sent(availability.name(), server)?,
             // Asked again at the head of the loop, which says why.
             SendOutcome::Held => {}
             SendOutcome::NotRun => self.rejected("not-run", server)?,
@@ -188,7 +188,7 @@
     /// Takes a rejection; an error if nothing more may be tried.
     fn rejected(&mut self, end: &'static str, server: &ServerRecord) -> Result<(), Refused> {
         self.not_sent(end, server)?;
-        if !self.parts.try_repeat(&self.service) {
+        if !self.context.try_retry(&self.service) {
             return Err(Refused::new(ResultCode::QueueFull));
         }
         Ok(())
@@ -222,8 +222,11 @@
         let route = &self.admitted.route;
         route.kind.may_repeat()
             && self.ran < route.max_attempts
-            && !self.parts.crashes.is_one_at_a_time(&self.admitted.content)
-            && self.parts.try_repeat(&self.service)
+            && !self
+                .context
+                .crashes
+                .requires_single_run(&self.admitted.request_content)
+            && self.context.try_retry(&self.service)
     }
 
     /// Leaves an engine out for the rest of the request.
@@ -232,21 +235,21 @@
     }
 
     fn choose(&mut self) -> Option<ServerRecord> {
-        let (id, zone) = (&self.parts.instance, &self.parts.zone);
+        let (id, zone) = (&self.context.instance, &self.context.zone);
         let entry = SendingEntry::new(id, zone, ConnectionShare::UNLIMITED);
         let part = self.admitted.work.shared_prefix.as_deref();
         let chosen = self
-            .parts
-            .choose(&self.service, |choice, usable, now| match part {
-                Some(part) => choice.select_engine(usable, &self.tried, part, now),
-                None => choice.select_plain(usable, &self.tried, entry, now),
+            .context
+            .choose_server(&self.service, |server_selector, usable, now| match part {
+                Some(part) => server_selector.select_engine(usable, &self.tried, part, now),
+                None => server_selector.select_plain(usable, &self.tried, entry, now),
             });
         let (server, seen) = chosen?;
         self.seen = seen;
         Some(server)
     }
 
-    async fn pieces(&mut self, reader: &ServerRecord) -> Result<Option<MadePieces>, Refused> {
+    async fn pieces(&mut self, reader: &ServerRecord) -> Result<Option<JobResults>, Refused> {
         let route = Arc::clone(&self.admitted.route);
         if route.stages.is_empty() {
             return Ok(None);
@@ -255,10 +258,10 @@
         let made = if stages.iter().all(|stage| stage.pieces == 0) {
             None
         } else {
-            let order = JobSpec {
+            let spec = JobSpec {
                 call: self.admitted.work.call.clone(),
                 route: route.id.clone(),
-                cell: self.parts.cluster_view.cell_of(&self.admitted.work.call),
+                cell: self.context.cluster_view.cell_of(&self.admitted.work.call),
                 piece_key: self.admitted.work.piece_key.clone(),
                 stages,
                 rank: self.admitted.rank,
@@ -272,16 +275,16 @@
                 reader_zone: reader.zone.clone(),
                 retained: Vec::new(),
             };
-            let making = make_pieces(&self.parts, &self.admitted.content, order);
+            let making = run_job(&self.context, &self.admitted.request_content, spec);
             // Guards against a caller that waits for pieces when the process ends: cut off, it
             // could not tell that its request never ran.
             let made = tokio::select! {
                 made = tokio::time::timeout(self.admitted.left(), making) => made,
-                crashed = self.parts.crashes.held(&self.admitted.content) => {
+                crashed = self.context.crashes.wait_until_quarantined(&self.admitted.request_content) => {
                     let code = self.admitted.held_back(crashed);
                     return Err(self.refused_held(Refused::new(code)));
                 }
-                () = self.parts.stop.hurried() => {
+                () = self.context.shutdown.unsent_aborted() => {
                     return Err(Refused::new(ResultCode::NotReady).closing());
                 }
             };
@@ -292,11 +295,11 @@
             self.owner = Some(made.owner.clone());
             self.pieces_at = Some(Instant::now());
             let took = self.admitted.arrived.elapsed();
-            self.parts.latencies.record("pieces", took);
+            self.context.latencies.record("pieces", took);
         }
         let handles = made.iter().flat_map(|made| &made.handles);
         let handles: Vec<_> = handles.map(ResultHandle::as_str).collect();
-        let inputs = self.parts.dialect.headers.inputs.clone();
+        let inputs = self.context.dialect.headers.inputs.clone();
         self.outgoing.set(&inputs, &handles.join(","));
         Ok(made)
     }
@@ -304,7 +307,10 @@
     /// Time that an engine is likely to take to the first event of this prompt.
     fn engine_time(&self) -> Duration {
         let tokens = self.admitted.work.prompt_tokens;
-        let expected = self.parts.prompt_times.expected(&self.service, tokens);
+        let expected = self
+            .context
+            .first_event_estimators
+            .expected(&self.service, tokens);
         // A prompt that takes all of the aim cannot be in time whatever its pieces take.
         let most = self.admitted.route.target_latency / 2;
         expected.unwrap_or(DEFAULT_ENGINE_TIME).min(most)
@@ -323,7 +329,7 @@
             .collect()
     }
 
-    fn no_pieces(&self, error: &PiecesError) -> Refused {
+    fn no_pieces(&self, error: &JobError) -> Refused {
         info!(
             call = self.admitted.work.call.as_str(), reason:% = error,
             ms = ms(self.admitted.arrived.elapsed());
@@ -331,14 +337,14 @@
         );
         // The request itself never left for an engine, so it has not run.
         let code = match error {
-            PiecesError::Refused(_, JobFailure::NoServer) => ResultCode::NoBackendServer,
-            PiecesError::Refused(_, JobFailure::Overloaded) => ResultCode::QueueFull,
-            PiecesError::Refused(_, JobFailure::Malformed) => ResultCode::MalformedRequest,
+            JobError::Refused(_, JobFailure::NoServer) => ResultCode::NoBackendServer,
+            JobError::Refused(_, JobFailure::Overloaded) => ResultCode::QueueFull,
+            JobError::Refused(_, JobFailure::Malformed) => ResultCode::MalformedRequest,
             _ => ResultCode::DeadlineUnreachable,
         };
         match error {
-            PiecesError::Refused(retry_after, _) => Refused::new(code).come_back_in(*retry_after),
-            PiecesError::Failed(_) => Refused::new(code),
+            JobError::Refused(retry_after, _) => Refused::new(code).come_back_in(*retry_after),
+            JobError::Failed(_) => Refused::new(code),
         }
     }
 
@@ -357,14 +363,16 @@
             }
         };
         sent.answered(&self.admitted);
-        let share = self.parts.connection_share(&self.service);
-        self.parts.pool.give_back(connection, &head.headers, share);
+        let share = self.context.connection_share(&self.service);
+        self.context
+            .pool
+            .give_back(connection, &head.headers, share);
         Ok(passed_on(head.status, &head.headers, whole(body)))
     }
 
     fn log_end(&self, end: &'static str, server: &ServerRecord) {
         info!(
-            call = self.admitted.work.call.as_str(), fingerprint:% = self.admitted.content.fingerprint(),
+            call = self.admitted.work.call.as_str(), fingerprint:% = self.admitted.request_content.fingerprint(),
             server:% = server.incarnation, end,
             in_flight = self.seen.in_flight, told:% = self.seen.reported,
             told_age_ms:% = self.seen.reported_age_ms,
--- a/crates/amaranthscale/src/gateway/request/plain_run.rs
+++ b/crates/amaranthscale/src/gateway/request/plain_run.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 use super::super::clock::ms;
-use super::super::process::GatewayParts;
+use super::super::process::GatewayContext;
 use super::answer::{AnswerBody, passed_on, whole};
 use super::caller::Admitted;
 use super::outgoing::Outgoing;
@@ -51,13 +51,13 @@
 
 /// Sends a request until one server has answered or nothing more may be tried.
 pub(super) async fn run_plain(
-    parts: &Arc<GatewayParts>,
+    context: &Arc<GatewayContext>,
     admitted: &Admitted,
     service: &ServiceId,
     outgoing: &Outgoing,
 ) -> Result<Response<AnswerBody>, Refused> {
     let mut run = PlainRun {
-        parts,
+        context,
         admitted,
         service,
         tried: BTreeSet::new(),
@@ -65,13 +65,13 @@
         rejected: 0,
         kept_failure: None,
         seen: LoadSnapshot::default(),
-        share: parts.connection_share(service),
+        share: context.connection_share(service),
     };
     run.go(outgoing).await
 }
 
 struct PlainRun<'a> {
-    parts: &'a Arc<GatewayParts>,
+    context: &'a Arc<GatewayContext>,
     admitted: &'a Admitted,
     service: &'a ServiceId,
     tried: BTreeSet<amaranthscale_core::id::ServerIncarnation>,
@@ -87,12 +87,12 @@
 impl PlainRun<'_> {
     async fn go(&mut self, outgoing: &Outgoing) -> Result<Response<AnswerBody>, Refused> {
         loop {
-            if let Err(refused) = self.admitted.check_held(self.parts).await {
+            if let Err(refused) = self.admitted.check_held(self.context).await {
                 return self.give_up(refused);
             }
             let Some(server) = self.choose() else {
-                let none = self.parts.none_usable(self.service);
-                return self.give_up(Refused::none_usable(none));
+                let none = self.context.no_server_available(self.service);
+                return self.give_up(Refused::no_server_available(none));
             };
             let tried = self.try_at(&server, outgoing).await;
             let has_more = match tried {
@@ -111,9 +111,9 @@
                 Tried::NotSent | Tried::Withheld(_) => self.may_send_on(),
                 // Asked again at the head of the loop, which says why.
                 Tried::Held => true,
-                Tried::NotRun => self.may_send_on() && self.parts.try_repeat(self.service),
+                Tried::NotRun => self.may_send_on() && self.context.try_retry(self.service),
                 Tried::Lost => {
-                    self.parts.counters.count("answer.lost");
+                    self.context.counters.count("answer.lost");
                     self.may_repeat()
                 }
                 Tried::TimeOver => {
@@ -129,10 +129,12 @@
     }
 
     fn choose(&mut self) -> Option<ServerRecord> {
-        let entry = SendingEntry::new(&self.parts.instance, &self.parts.zone, self.share);
-        let chosen = self.parts.choose(self.service, |choice, usable, now| {
-            choice.select_plain(usable, &self.tried, entry, now)
-        });
+        let entry = SendingEntry::new(&self.context.instance, &self.context.zone, self.share);
+        let chosen = self
+            .context
+            .choose_server(self.service, |server_selector, usable, now| {
+                server_selector.select_plain(usable, &self.tried, entry, now)
+            });
         let (server, seen) = chosen?;
         self.seen = seen;
         Some(server)
@@ -140,13 +142,13 @@
 
     async fn try_at(&mut self, server: &ServerRecord, outgoing: &Outgoing) -> Tried {
         let left = self.admitted.left();
-        let sent = Sent::new(self.parts, server);
+        let sent = Sent::new(self.context, server);
         let call = &self.admitted.work.call;
         let whole_answer = async {
-            match send(self.parts, outgoing, self.admitted, server, sent).await {
+            match send(self.context, outgoing, self.admitted, server, sent).await {
                 SendOutcome::Answer(begun) => self.read(*begun).await,
                 SendOutcome::NotSent => Tried::NotSent,
-                SendOutcome::Withheld(server_use) => Tried::Withheld(server_use),
+                SendOutcome::Withheld(availability) => Tried::Withheld(availability),
                 SendOutcome::Held => Tried::Held,
                 SendOutcome::NotRun | SendOutcome::InputGone => Tried::NotRun,
                 SendOutcome::Lost => Tried::Lost,
@@ -163,7 +165,7 @@
         if !matches!(tried, Tried::Answered(_)) {
             let ms = ms(started.elapsed());
             info!(
-                call = call.as_str(), fingerprint:% = self.admitted.content.fingerprint(),
+                call = call.as_str(), fingerprint:% = self.admitted.request_content.fingerprint(),
                 server:% = server.incarnation, end = tried.name(),
                 in_flight = self.seen.in_flight, told:% = self.seen.reported,
                 told_age_ms:% = self.seen.reported_age_ms, ms;
@@ -183,7 +185,7 @@
         match read_body(body, MAX_ANSWER_BYTES, self.admitted.left()).await {
             Ok(body) => {
                 sent.answered(self.admitted);
-                self.parts
+                self.context
                     .pool
                     .give_back(connection, &head.headers, self.share);
                 Tried::Answered(WholeAnswer {
@@ -216,10 +218,14 @@
         if !route.kind.may_repeat() || self.may_have_run >= route.max_attempts {
             return false;
         }
-        if self.parts.crashes.is_one_at_a_time(&self.admitted.content) {
+        if self
+            .context
+            .crashes
+            .requires_single_run(&self.admitted.request_content)
+        {
             return false;
         }
-        self.parts.try_repeat(self.service)
+        self.context.try_retry(self.service)
     }
 
     /// Whether a request that did not run may go to another server. One that never left takes
@@ -239,7 +245,7 @@
             return;
         }
         info!(
-            call = admitted.work.call.as_str(), fingerprint:% = admitted.content.fingerprint(),
+            call = admitted.work.call.as_str(), fingerprint:% = admitted.request_content.fingerprint(),
             route:% = admitted.route.id,
             server:% = server.incarnation, status = answer.status.as_u16(), sends,
             in_flight = self.seen.in_flight, told:% = self.seen.reported,
@@ -272,7 +278,7 @@
         match self {
             Self::Answered(_) => "answered",
             Self::NotSent => "not-sent",
-            Self::Withheld(server_use) => server_use.name(),
+            Self::Withheld(availability) => availability.name(),
             Self::Held => "held",
             Self::NotRun => "not-run",
             Self::Lost => "lost",
--- a/crates/amaranthscale/src/gateway/request/refused.rs
+++ b/crates/amaranthscale/src/gateway/request/refused.rs
@@ -6,7 +6,7 @@
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-use super::super::process::{GatewayParts, NoneUsable};
+use super::super::process::{GatewayContext, NoServerAvailable};
 use super::answer::{AnswerBody, whole};
 
 /// Time after which a caller may come back if nothing better is known.
@@ -49,9 +49,9 @@
 
     /// A refusal where no server of the service can be chosen.
     #[must_use]
-    pub const fn none_usable(none: NoneUsable) -> Self {
+    pub const fn no_server_available(none: NoServerAvailable) -> Self {
         Self {
-            retry_after: none.place_in,
+            retry_after: none.retry_after,
             ..Self::new(none.code)
         }
     }
@@ -71,8 +71,8 @@
     }
 
     /// The response, counted by its code.
-    pub(super) fn response(self, parts: &GatewayParts) -> Response<AnswerBody> {
-        parts.counters.count_reason("refused", self.code.name());
+    pub(super) fn response(self, context: &GatewayContext) -> Response<AnswerBody> {
+        context.counters.count_reason("refused", self.code.name());
         let body = format!(
             "{{\"code\":{},\"message\":\"{}\"}}",
             self.code.number(),
@@ -91,7 +91,7 @@
                 _ => USUAL_RETRY,
             };
             let retry_after = self.retry_after.unwrap_or(usual);
-            headers.insert(RETRY_AFTER, (parts.dialect.retry_after)(retry_after));
+            headers.insert(RETRY_AFTER, (context.dialect.retry_after)(retry_after));
         }
         if self.closes {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/amaranthscale/src/gateway/request/send.rs
+++ b/crates/amaranthscale/src/gateway/request/send.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use super::super::connection::ServerConnection;
-use super::super::process::GatewayParts;
+use super::super::process::GatewayContext;
 use super::caller::Admitted;
 use super::outgoing::Outgoing;
 use crate::connection::{ReadBodyError, SendError};
@@ -47,7 +47,7 @@
 /// A send that counts as in flight at its server until this is dropped.
 #[derive(Debug)]
 pub(super) struct Sent {
-    parts: std::sync::Arc<GatewayParts>,
+    context: std::sync::Arc<GatewayContext>,
     server: amaranthscale_core::id::ServerIncarnation,
     address: SocketAddr,
     started: Instant,
@@ -55,10 +55,10 @@
 }
 
 impl Sent {
-    pub(super) fn new(parts: &std::sync::Arc<GatewayParts>, server: &ServerRecord) -> Self {
-        parts.choice().record_send(&server.incarnation);
+    pub(super) fn new(context: &std::sync::Arc<GatewayContext>, server: &ServerRecord) -> Self {
+        context.server_selector().record_send(&server.incarnation);
         Self {
-            parts: std::sync::Arc::clone(parts),
+            context: std::sync::Arc::clone(context),
             server: server.incarnation.clone(),
             address: server.address,
             started: Instant::now(),
@@ -68,14 +68,14 @@
 
     /// Says that the whole answer came.
     pub(super) fn answered(self, admitted: &Admitted) {
-        admitted.completed(&self.parts);
+        admitted.completed(&self.context);
         self.end(SendEnd::Answered);
     }
 
     /// Says that the connection ended before the answer did.
     pub(super) fn cut_off(self, admitted: &Admitted) {
-        let crashes = &self.parts.crashes;
-        crashes.lost(&self.server, self.address, &admitted.content);
+        let crashes = &self.context.crashes;
+        crashes.record_lost_run(&self.server, self.address, &admitted.request_content);
         self.end(SendEnd::Failed);
     }
 
@@ -95,12 +95,12 @@
 
 impl Drop for Sent {
     fn drop(&mut self) {
-        let now = self.parts.cluster_view.clock().now();
+        let now = self.context.cluster_view.clock().now();
         let elapsed = self.started.elapsed();
-        let change = self
-            .parts
-            .choice()
-            .record_end(&self.server, self.end, elapsed, now);
+        let change =
+            self.context
+                .server_selector()
+                .record_end(&self.server, self.end, elapsed, now);
         match change {
             Some(HealthChange::Ejected) => info!(server:% = self.server; "servers: left out"),
             Some(HealthChange::Readmitted) => info!(server:% = self.server; "servers: taken back"),
@@ -111,34 +111,34 @@
 
 /// Sends a request and reads the head of the answer.
 pub(super) async fn send(
-    parts: &GatewayParts,
+    context: &GatewayContext,
     outgoing: &Outgoing,
     admitted: &Admitted,
     server: &ServerRecord,
     sent: Sent,
 ) -> SendOutcome {
     let call = &admitted.work.call;
-    let Ok(mut connection) = parts.pool.connection(server).await else {
-        parts.counters.count("servers.unreached");
+    let Ok(mut connection) = context.pool.connection(server).await else {
+        context.counters.count("servers.unreached");
         sent.end(SendEnd::Unreachable);
         return SendOutcome::NotSent;
     };
     if !admitted.route.kind.may_repeat() && connection.prove().await.is_err() {
         // It takes no more connections now: full, but not sick.
-        parts.counters.count("connection.reset-unused");
+        context.counters.count("connection.reset-unused");
         sent.end(SendEnd::Rejected);
         return SendOutcome::NotSent;
     }
-    if admitted.check_held(parts).await.is_err() {
+    if admitted.check_held(context).await.is_err() {
         sent.end(SendEnd::Abandoned);
         return SendOutcome::Held;
     }
-    if let Err(server_use) = parts.try_send_to(server) {
+    if let Err(availability) = context.try_reserve_send(server) {
         sent.end(SendEnd::Abandoned);
-        return SendOutcome::Withheld(server_use);
+        return SendOutcome::Withheld(availability);
     }
     let sent_at = Instant::now();
-    let request = outgoing.request(&parts.dialect, server.incarnation.id(), admitted.left());
+    let request = outgoing.request(&context.dialect, server.incarnation.id(), admitted.left());
     let response = match connection.send(request).await {
         Ok(response) => response,
         Err(SendError::NotSent(..)) => {
@@ -157,18 +157,20 @@
         }
     };
     let (head, body) = response.into_parts();
-    let dialect = &parts.dialect;
+    let dialect = &context.dialect;
     if let Some(load) = (dialect.reported_load)(&head.headers) {
-        let now = parts.cluster_view.clock().now();
-        parts.choice().record_load(&server.incarnation, load, now);
+        let now = context.cluster_view.clock().now();
+        context
+            .server_selector()
+            .record_load(&server.incarnation, load, now);
     }
-    if !is_own(parts, call, &head) {
+    if !is_own(context, call, &head) {
         sent.end(SendEnd::Failed);
         return SendOutcome::Lost;
     }
-    parts
+    context
         .limits
-        .heard(dialect, &server.incarnation, &head, sent_at);
+        .record_answer(dialect, &server.incarnation, &head, sent_at);
     if (dialect.did_not_run)(head.status, &head.headers) {
         let is_other = (dialect.is_other_server)(head.status);
         sent.end(if is_other {
@@ -195,8 +197,8 @@
 /// Guards against a late or second answer of an earlier request, which arrives where the next
 /// answer is due: it names another call. A success without a stamp, or encoded though nobody asked
 /// for it, is not the server's body.
-fn is_own(parts: &GatewayParts, call: &CallId, head: &response::Parts) -> bool {
-    let names = &parts.dialect.headers;
+fn is_own(context: &GatewayContext, call: &CallId, head: &response::Parts) -> bool {
+    let names = &context.dialect.headers;
     let told = head
         .headers
         .get(&names.call)
--- a/crates/amaranthscale/src/gateway/request/stream_relay.rs
+++ b/crates/amaranthscale/src/gateway/request/stream_relay.rs
@@ -67,7 +67,7 @@
 impl Relay {
     async fn go(mut self, mut running: Running, _open: OpenRequest) {
         let first_at = self.run.admitted.arrived.elapsed();
-        self.run.parts.latencies.record("begin", first_at);
+        self.run.context.latencies.record("begin", first_at);
         self.note_prompt_time(first_at);
         let reason = loop {
             let server = running.server.clone();
@@ -102,7 +102,9 @@
         let sent_at = run.pieces_at.unwrap_or(run.admitted.arrived);
         let took = (run.admitted.arrived + first_at).saturating_duration_since(sent_at);
         let tokens = run.admitted.work.prompt_tokens;
-        run.parts.prompt_times.sample(&run.service, tokens, took);
+        run.context
+            .first_event_estimators
+            .record(&run.service, tokens, took);
     }
 
     /// Passes on what one engine sends.
@@ -139,9 +141,9 @@
             }
         }
         sent.answered(&self.run.admitted);
-        let share = self.run.parts.connection_share(&self.run.service);
+        let share = self.run.context.connection_share(&self.run.service);
         self.run
-            .parts
+            .context
             .pool
             .give_back(connection, &head.headers, share);
         let rest = splitter.rest();
@@ -174,7 +176,7 @@
         }
         self.run.leave_out(server);
         if let Some(last_id) = self.last_id {
-            let name = self.run.parts.dialect.headers.last_event.clone();
+            let name = self.run.context.dialect.headers.last_event.clone();
             self.run.outgoing.set(&name, &last_id.to_string());
         }
         let begin = self.run.begin();
@@ -185,7 +187,7 @@
         if !running.begun.head.status.is_success() {
             return None;
         }
-        self.run.parts.counters.count("stream.resumed");
+        self.run.context.counters.count("stream.resumed");
         Some(running)
     }
 
@@ -195,7 +197,7 @@
         let fingerprint = if end == "whole" {
             "-".to_owned()
         } else {
-            admitted.content.fingerprint().to_string()
+            admitted.request_content.fingerprint().to_string()
         };
         let owner = self.run.owner.as_ref().map_or("-", |owner| owner.as_str());
         let seen = self.run.seen;
--- a/crates/amaranthscale/src/gateway/request_content.rs
+++ b/crates/amaranthscale/src/gateway/request_content.rs
@@ -1,4 +1,4 @@
-//! What a request is by its content.
+//! Content of a request, by which it is identified.
 
 use std::fmt;
 use std::sync::{Arc, OnceLock};
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use hyper::Uri;
 
-/// The content of a request, named when it is first asked for.
+/// The content of a request; its fingerprint is computed on first use.
 pub(crate) struct RequestContent {
     holder: Option<Arc<KeyHolder>>,
     host: String,
@@ -18,7 +18,7 @@
 }
 
 impl RequestContent {
-    /// The content of a request of a holder of keys.
+    /// The content of a request sent with a key of `holder`.
     pub(crate) const fn new(
         holder: Option<Arc<KeyHolder>>,
         host: String,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Names requests of the same organisation, path and body alike.
+    /// Fingerprint, equal for requests of the same organisation, host, path and body.
     pub(crate) fn fingerprint(&self) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| {
             let organisation = self.holder.as_ref().map(|holder| &holder.organisation);
@@ -46,7 +46,7 @@
 
 impl fmt::Debug for RequestContent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // A caller's body stands in no debug text.
+        // Debug output must not contain a caller's body.
         f.debug_struct("RequestContent")
             .field("fingerprint", &self.fingerprint)
             .finish_non_exhaustive()
--- a/crates/amaranthscale/src/gateway/store_api.rs
+++ b/crates/amaranthscale/src/gateway/store_api.rs
@@ -1,4 +1,4 @@
-//! How a platform's store is called: names and formats, no decisions.
+//! Requests to a platform's store and parsers of its answers, without decisions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 }
 
 impl StoreTable {
-    /// Name in lines.
+    /// Name in log lines.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -36,19 +36,19 @@
     }
 }
 
-/// What a row holds.
+/// Value of a row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoredValue {
-    /// Its content.
+    /// The content.
     Content(Bytes),
-    /// Content that the store cannot have taken from one of its own writers, and why.
+    /// Content in a format that none of this system's writers produces, and the reason.
     Unreadable(String),
-    /// Nothing: the row was dropped.
+    /// The row was dropped.
     Dropped,
 }
 
 impl StoredValue {
-    /// Reads the content by a function; none where the row was dropped.
+    /// Decodes the content; `None` where the row was dropped.
     pub fn read<T>(
         &self,
         decode: impl FnOnce(&[u8]) -> Result<T, String>,
@@ -66,21 +66,21 @@
 pub struct StoreRow {
     /// Key within its table.
     pub key: String,
-    /// What it holds.
+    /// Value.
     pub value: StoredValue,
     /// Version of the row.
     pub version: RowVersion,
 }
 
-/// Rows as of one moment.
+/// Rows as of one point in time.
 #[serde_with::serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreRows {
     /// The rows.
     pub rows: Vec<StoreRow>,
-    /// Version to go on from.
+    /// Version from which to continue.
     pub version: RowVersion,
-    /// The store's steady clock.
+    /// The store's monotonic clock.
     #[serde_as(as = "serde_with::DurationMicroSeconds<u64>")]
     #[serde(rename = "clock_us")]
     pub clock: Duration,
@@ -91,60 +91,59 @@
 /// An answer of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreAnswer {
-    /// Rows, or the end of a write.
+    /// Rows, or a successful write.
     Rows(StoreRows),
-    /// The history that was asked for is no longer kept.
+    /// The requested history is no longer retained.
     HistoryGone,
-    /// A condition of a write did not hold.
+    /// A precondition of a write did not hold.
     Conflict,
-    /// Nothing was done.
+    /// The request was rejected.
     Refused(StatusCode),
 }
 
-/// Evidence of crashed servers by its name; none where it was removed.
+/// Evidence of crashed servers by its id; `None` where it was removed.
 pub type EvidenceUpdate = (EvidenceId, Option<CrashEvidence>);
 
-/// The limit that a server has named; none where the word was removed.
+/// The rate limit that a server reported; `None` where it was removed.
 pub type LimitUpdate = (ServerIncarnation, Option<ServerLimit>);
 
-/// How one platform's store is called.
+/// Requests to one platform's store and parsers of its answers.
 #[derive(Debug, Clone)]
 pub struct StoreApi {
-    /// Where the store listens.
+    /// Address of the store.
     pub address: SocketAddr,
-    /// Reads a table, from after a key on.
+    /// Reads a table from the start or from after a key.
     pub read: fn(StoreTable, Option<&str>) -> Request<Full<Bytes>>,
-    /// Waits for changes of a table after a version.
+    /// Long-polls for changes of a table after a version.
     pub watch: fn(StoreTable, RowVersion, Duration) -> Request<Full<Bytes>>,
-    /// Announces a gateway.
+    /// Publishes a gateway's announcement.
     pub announce: fn(&InstanceId, &Announcement) -> Request<Full<Bytes>>,
     /// Withdraws an announcement.
     pub withdraw: fn(&InstanceId) -> Request<Full<Bytes>>,
-    /// Tells of crashed servers.
+    /// Publishes evidence of crashed servers.
     pub publish_evidence: fn(&EvidenceId, &CrashEvidence) -> Request<Full<Bytes>>,
-    /// Tells the same, if nothing is told under that name.
+    /// Publishes evidence unless its id is already in use.
     pub publish_evidence_if_absent: fn(&EvidenceId, &CrashEvidence) -> Request<Full<Bytes>>,
-    /// Removes what was told.
+    /// Removes evidence.
     pub remove_evidence: fn(&EvidenceId) -> Request<Full<Bytes>>,
-    /// Tells of a server's limit.
+    /// Publishes a server's rate limit.
     pub publish_limit: fn(&ServerIncarnation, ServerLimit) -> Request<Full<Bytes>>,
-    /// Removes what was told of it.
+    /// Removes a server's rate limit.
     pub remove_limit: fn(&ServerIncarnation) -> Request<Full<Bytes>>,
-    /// Reads an answer.
+    /// Parses an answer.
     pub parse_answer: fn(StatusCode, &[u8]) -> Result<StoreAnswer, String>,
-    /// Reads the routing from its row; none if the row is another one.
+    /// Parses the routing from its row; `None` if it is another row.
     pub parse_routing: fn(&StoreRow) -> Result<Option<Routing>, String>,
-    /// Reads what operators say of an availability zone from a row of the routing's table; none if
-    /// the row is another one.
+    /// Parses the state of an availability zone from a row of the routing table; `None` if it is
+    /// another row.
     pub parse_zone_change: fn(&StoreRow) -> Result<Option<ZoneChange>, String>,
-    /// Reads a backend server from its row.
+    /// Parses a backend server's row.
     pub parse_server: fn(&ServerId, &[u8]) -> Result<ServerRecord, String>,
-    /// Reads what a gateway tells of crashed servers from a row of the gateways' table, and nothing of
-    /// it where the row was dropped; none if the row is another one.
+    /// Parses evidence of crashed servers from a row of the gateways' table, without content where
+    /// the row was dropped; `None` if it is another row.
     pub parse_evidence: fn(&StoreRow) -> Result<Option<EvidenceUpdate>, String>,
-    /// Reads what a gateway tells of a server's limit from a row of the gateways' table; none if the row
-    /// is another one.
+    /// Parses a server's rate limit from a row of the gateways' table; `None` if it is another row.
     pub parse_limit: fn(&StoreRow) -> Result<Option<LimitUpdate>, String>,
-    /// Reads what a gateway announces from its row.
+    /// Parses a gateway's announcement.
     pub parse_announcement: fn(&[u8]) -> Result<Announcement, String>,
 }
--- a/crates/amaranthscale/src/gateway/version.rs
+++ b/crates/amaranthscale/src/gateway/version.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a version: the routing, servers and gateways as the store tells them.
+//! State with the life span of a version: the routing, servers and gateways as read from the store.
 
 mod announce;
 mod cluster_view;
--- a/crates/amaranthscale/src/gateway/version/cluster_view.rs
+++ b/crates/amaranthscale/src/gateway/version/cluster_view.rs
@@ -86,7 +86,7 @@
     /// Age of the routing; none before the first answer of the store.
     #[must_use]
     pub fn age(&self) -> Option<Duration> {
-        let now = self.clock.with_suspension();
+        let now = self.clock.now_with_suspend();
         self.known().freshness.age(now)
     }
 
@@ -191,7 +191,7 @@
     /// Takes a routing that the store told at a time of its clock; one that is not newer is dropped, so that
     /// nothing ever reverts. Says how long ago the store told it, if it was taken and that is known.
     pub fn take_routing(&self, routing: Routing, store_clock: Duration) -> Option<Duration> {
-        let now = self.clock.with_suspension();
+        let now = self.clock.now_with_suspend();
         let mut known = self.known();
         let in_force = known.routing.as_ref().map(|routing| routing.version());
         if in_force >= Some(routing.version()) {
@@ -212,7 +212,7 @@
     /// Dates the routing by an answer of the store that began to come at a time of the clock that goes on
     /// while the machine is suspended.
     pub fn confirm(&self, store_clock: Duration, heard_at: Duration) {
-        let handled = self.clock.with_suspension().saturating_sub(heard_at);
+        let handled = self.clock.now_with_suspend().saturating_sub(heard_at);
         let began_at = self.clock.now().saturating_sub(handled);
         let mut known = self.known();
         known.freshness.record_answer(store_clock, heard_at);
--- a/crates/amaranthscale/src/gateway/version/feed.rs
+++ b/crates/amaranthscale/src/gateway/version/feed.rs
@@ -167,7 +167,7 @@
         let counters = Arc::clone(&neighbour.with().counters);
         let answered = asked.await;
         // Dated by the store's clock in it and by the store's own first answer.
-        self.heard_at = neighbour.with().cluster_view.clock().with_suspension();
+        self.heard_at = neighbour.with().cluster_view.clock().now_with_suspend();
         let reason = match answered {
             Ok(HandedRows::All(rows)) if rows.clock > self.clock => {
                 counters.count("store.handed");
@@ -263,7 +263,7 @@
     /// Time of the clock that goes on while the machine is suspended; zero where nothing is dated.
     fn now(&self) -> Duration {
         let cluster_view = self.neighbour.as_ref().map(|one| &one.with().cluster_view);
-        cluster_view.map_or(Duration::ZERO, |known| known.clock().with_suspension())
+        cluster_view.map_or(Duration::ZERO, |known| known.clock().now_with_suspend())
     }
 
     /// Longest wait of the next poll.
--- a/crates/amaranthscale/src/gateway/version/follow.rs
+++ b/crates/amaranthscale/src/gateway/version/follow.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use super::super::clock::ms;
-use super::super::process::{CrashWatch, LimitTracker, StopGate};
+use super::super::process::{CrashTracker, LimitTracker, ShutdownGate};
 use super::super::{EvidenceUpdate, LimitUpdate, StoreApi, StoreRow, StoreTable, StoredValue};
 use super::announce::{announce_instance, withdraw_instance};
 use super::feed::LONG_BYTES;
@@ -154,8 +154,8 @@
         }
         for (row, told) in rows.iter().zip(told) {
             match told {
-                Ok(Told::Evidence((id, evidence))) => own.crashes.take(id, evidence),
-                Ok(Told::Limit((server, limit))) => own.limits.take(&server, limit),
+                Ok(Told::Evidence((id, evidence))) => own.crashes.apply_published(id, evidence),
+                Ok(Told::Limit((server, limit))) => own.limits.apply_published(&server, limit),
                 Ok(Told::Instance) => {
                     take_instance(
                         &store,
@@ -202,8 +202,8 @@
             Told::Instance => {}
         }
     }
-    own.crashes.keep_only(&evidence);
-    own.limits.keep_only(&limited);
+    own.crashes.retain_published(&evidence);
+    own.limits.retain_published(&limited);
 }
 
 /// The gateway itself, as it announces itself.
@@ -214,9 +214,9 @@
     /// What it announces.
     pub announcement: Announcement,
     /// Whether it stops, and so announces itself no more.
-    pub stop: Arc<StopGate>,
+    pub shutdown: Arc<ShutdownGate>,
     /// What it knows of crashed servers.
-    pub crashes: Arc<CrashWatch>,
+    pub crashes: Arc<CrashTracker>,
     /// What it knows of servers' limits.
     pub limits: Arc<LimitTracker>,
     /// Whether the store has taken its announcement.
@@ -300,7 +300,7 @@
 
 /// Announces this gateway anew: another one took it for dead, but it lives.
 fn announce_again(store: &StoreApi, own: &Own) {
-    if own.stop.is_stopping() {
+    if own.shutdown.is_stopping() {
         return;
     }
     tokio::spawn(announce_instance(store.clone(), own.clone()));
