--- a/crates/amaranthscale/tests/sidecar_answers.rs
+++ b/crates/amaranthscale/tests/sidecar_answers.rs
@@ -1,4 +1,4 @@
-//! What becomes of an answer whose reader, time or room is gone.
+//! Answers whose reader, time or memory limit is exhausted.
 #![expect(
     clippy::unwrap_used,
     reason = "fixtures fail by panicking, like the tests that use them"
@@ -15,183 +15,185 @@
 use amaranthscale_core::unit::{ByteSize, TimeBudget};
 use amaranthscale_core::wire::{Dispatch, Frame, RevokeAnswer, Stamp};
 use sidecar_support::{
-    Bench, FIRST_LINE, LAST_LINES, bench, bench_with, fetch, fetch_within, soon, whole,
+    FIRST_LINE, Fixture, LAST_LINES, fetch, fetch_within, fixture, fixture_with, read_to_end,
+    with_timeout,
 };
 
-/// Long enough for the sidecar to drop what it need not keep.
+/// Long enough for the sidecar to evict answers that have expired.
 const SEVERAL_TICKS: Duration = Duration::from_millis(400);
 
-/// Waits until the answer of an attempt is no longer kept.
-async fn until_forgotten(bench: &Bench, dispatch: &Dispatch) {
+/// Waits until the answer of an attempt is evicted.
+async fn wait_until_evicted(fixture: &Fixture, dispatch: &Dispatch) {
     loop {
-        // Wants only the end, which any kept answer has.
-        let kept = fetch(&bench.entry, bench.address(), dispatch, u64::MAX).await;
-        let kept = whole(kept, dispatch.attempt, u64::MAX).await;
-        if kept.code() == ResultCode::OutcomeUnknown {
+        // Fetches only the end, which every retained answer has.
+        let fetched = fetch(&fixture.entry, fixture.address(), dispatch, u64::MAX).await;
+        let fetched = read_to_end(fetched, dispatch.attempt, u64::MAX).await;
+        if fetched.code() == ResultCode::OutcomeUnknown {
             return;
         }
     }
 }
 
-/// Runs an attempt whose call is held, up to the call.
-async fn start_held(bench: &Bench, dispatch: &Dispatch) -> FrameReader {
-    let frames = bench.open(dispatch).await;
-    bench.backend.called(1).await;
+/// Starts an attempt and waits until its blocked call has reached the backend server.
+async fn start_blocked_call(fixture: &Fixture, dispatch: &Dispatch) -> FrameReader {
+    let frames = fixture.open(dispatch).await;
+    fixture.backend.wait_for_calls(1).await;
     frames
 }
 
-/// The connection from the entry breaks in the middle of a stream.
-/// The caseworker must get the whole summary. The attempt runs on, and the entry reads the rest
-/// on a new connection from the chunk that it misses.
+/// Guards against a truncated stream after the entry's connection was lost in the middle. The
+/// attempt must continue, and the entry must be able to fetch the rest on a new connection from the
+/// first missing chunk.
 #[tokio::test]
-async fn fetch_on_a_new_connection_goes_on() {
-    let bench = bench().await;
-    let dispatch = bench.attempt(1, "/stream");
-    let mut frames = bench.open(&dispatch).await;
+async fn fetch_on_a_new_connection_resumes_the_answer() {
+    let fixture = fixture().await;
+    let dispatch = fixture.attempt(1, "/stream");
+    let mut frames = fixture.open(&dispatch).await;
     let first = frames.next().await.unwrap();
     drop(frames);
 
-    let rest = bench.fetch(&dispatch, 1).await;
-    bench.backend.let_go();
-    let rest = whole(rest, dispatch.attempt, 1).await;
+    let rest = fixture.fetch(&dispatch, 1).await;
+    fixture.backend.release_call();
+    let rest = read_to_end(rest, dispatch.attempt, 1).await;
 
     assert!(matches!(first, Frame::Chunk(chunk) if chunk.data == FIRST_LINE));
     assert_eq!(rest.result, LAST_LINES);
     assert_eq!(rest.code(), ResultCode::Complete);
-    assert_eq!(bench.backend.calls().len(), 1);
+    assert_eq!(fixture.backend.calls().len(), 1);
 }
 
-/// An entry asks for the answer of an attempt that this sidecar has never seen or has forgotten.
-/// Whether it ran cannot be told here; "not run" would let the entry run it twice.
+/// Guards against reporting "not run" for an attempt that is unknown here, either never received or
+/// already evicted: whether it ran is unknown, and "not run" would let the entry run it twice.
 #[tokio::test]
-async fn fetch_of_the_forgotten_is_unknown() {
-    let bench = bench().await;
-    let dispatch = bench.attempt(1, "/echo");
+async fn fetch_of_an_unknown_attempt_has_unknown_outcome() {
+    let fixture = fixture().await;
+    let dispatch = fixture.attempt(1, "/echo");
 
-    let fetched = whole(bench.fetch(&dispatch, 0).await, dispatch.attempt, 0).await;
+    let fetched = read_to_end(fixture.fetch(&dispatch, 0).await, dispatch.attempt, 0).await;
 
     assert_eq!(fetched.code(), ResultCode::OutcomeUnknown);
 }
 
-/// An entry asks for the outcome of a settlement that takes longer than the entry can wait.
-/// It hears that the call still runs, not that it is lost, and the call goes on.
+/// Guards against reporting a call as lost because a fetch of its outcome ran out of time: the
+/// fetch must report that the call is still running, and the call continues.
 #[tokio::test]
-async fn fetch_that_runs_out_of_time_says_still_running() {
-    let bench = bench().await;
-    let dispatch = bench.claimed(1, "/held");
-    let frames = start_held(&bench, &dispatch).await;
+async fn fetch_that_times_out_reports_still_running() {
+    let fixture = fixture().await;
+    let dispatch = fixture.claimed(1, "/held");
+    let frames = start_blocked_call(&fixture, &dispatch).await;
 
     let budget = TimeBudget::from_millis(20);
-    let fetched = fetch_within(&bench.entry, bench.address(), &dispatch, 0, budget).await;
-    let fetched = whole(fetched, dispatch.attempt, 0).await;
-    bench.backend.let_go();
-    let answer = whole(frames, dispatch.attempt, 0).await;
+    let fetched = fetch_within(&fixture.entry, fixture.address(), &dispatch, 0, budget).await;
+    let fetched = read_to_end(fetched, dispatch.attempt, 0).await;
+    fixture.backend.release_call();
+    let answer = read_to_end(frames, dispatch.attempt, 0).await;
 
     assert_eq!(fetched.code(), ResultCode::StillRunning);
     assert_eq!(answer.code(), ResultCode::Complete);
 }
 
-/// The deadline passes while a settlement runs, and an entry tries to cancel it.
-/// Cut off half-way, nobody would know whether the grower was paid. It runs on to its end, and
-/// its outcome can be fetched.
+/// Guards against aborting a settlement whose deadline passes or which an entry tries to cancel: it
+/// would be unknown whether it was paid. It must run to its end, and its outcome can be fetched.
 #[tokio::test]
-async fn claimed_call_is_never_cut_off() {
-    let bench = bench().await;
-    let mut dispatch = bench.claimed(1, "/held");
+async fn claimed_call_is_never_cancelled() {
+    let fixture = fixture().await;
+    let mut dispatch = fixture.claimed(1, "/held");
     dispatch.budget = TimeBudget::from_millis(200);
-    let frames = start_held(&bench, &dispatch).await;
-    let deadline = bench.hello().await.clock.plus(Duration::from_millis(200));
-    bench.clock_past(deadline).await;
+    let frames = start_blocked_call(&fixture, &dispatch).await;
+    let deadline = fixture.hello().await.clock.plus(Duration::from_millis(200));
+    fixture.wait_for_clock(deadline).await;
 
-    let revoked = bench.revoke(&dispatch, true).await;
-    bench.backend.let_go();
-    let answer = whole(frames, dispatch.attempt, 0).await;
+    let revoked = fixture.revoke(&dispatch, true).await;
+    fixture.backend.release_call();
+    let answer = read_to_end(frames, dispatch.attempt, 0).await;
 
     assert_eq!(revoked, RevokeAnswer::Running);
     assert_eq!(answer.code(), ResultCode::Complete);
     assert_eq!(answer.result, b"truck 17");
 }
 
-/// A caller goes away while its summary is being written.
-/// The entry revokes the attempt and wants it cancelled, so that the slot serves others.
+/// A caller disconnects while its attempt runs. The entry revokes the attempt and asks for its
+/// cancellation, which must free the slot.
 #[tokio::test]
 async fn revocation_cancels_running_work() {
-    let bench = bench().await;
-    let dispatch = bench.attempt(1, "/held");
-    let frames = start_held(&bench, &dispatch).await;
+    let fixture = fixture().await;
+    let dispatch = fixture.attempt(1, "/held");
+    let frames = start_blocked_call(&fixture, &dispatch).await;
 
-    let revoked = bench.revoke(&dispatch, true).await;
-    let ended = whole(frames, dispatch.attempt, 0).await;
-    let cancelled = bench.backend.cancelled().await;
+    let revoked = fixture.revoke(&dispatch, true).await;
+    let ended = read_to_end(frames, dispatch.attempt, 0).await;
+    let cancelled = fixture.backend.wait_for_cancellation().await;
 
     assert_eq!(revoked, RevokeAnswer::Running);
     assert_eq!(ended.code(), ResultCode::Cancelled);
     assert_eq!(cancelled, dispatch.attempt.to_string());
 }
 
-/// A backend server slows down, and entries cancel what takes too long there.
-/// Measured by the quick survivors alone it would still be reported as fast, and a caller's request
-/// would be admitted although it cannot end in time. Cancelled work counts with the time it took.
+/// Guards against a slow backend server that is reported as fast. It happens when entries cancel
+/// slow work and only the fast rest is measured; requests would then be admitted that cannot end in
+/// time. Cancelled work must count with the time it took.
 #[tokio::test]
 async fn cancelled_work_counts_in_the_load_report() {
-    let bench = bench().await;
-    bench.run(&bench.attempt(1, "/echo")).await;
-    let before = bench.hello().await;
-    let slow = bench.attempt(2, "/held");
-    let frames = bench.open(&slow).await;
-    bench.backend.called(2).await;
-    bench.clock_past(before.clock.plus(SEVERAL_TICKS)).await;
-
-    bench.revoke(&slow, true).await;
-    let ended = whole(frames, slow.attempt, 0).await;
+    let fixture = fixture().await;
+    fixture.run(&fixture.attempt(1, "/echo")).await;
+    let before = fixture.hello().await;
+    let slow = fixture.attempt(2, "/held");
+    let frames = fixture.open(&slow).await;
+    fixture.backend.wait_for_calls(2).await;
+    fixture
+        .wait_for_clock(before.clock.plus(SEVERAL_TICKS))
+        .await;
+
+    fixture.revoke(&slow, true).await;
+    let ended = read_to_end(frames, slow.attempt, 0).await;
     let is_counted = |stamp: &Stamp| stamp.load.service_ms > before.load.service_ms;
-    let after = soon(bench.stamp_when(is_counted)).await;
+    let after = with_timeout(fixture.wait_for_stamp(is_counted)).await;
 
     assert_eq!(ended.code(), ResultCode::Cancelled);
     assert_eq!(after.load.running, 0);
 }
 
-/// An entry's connection goes silent while it reads an answer.
-/// Its reader is never dropped, so that the answer would stay in memory for good. After its time
-/// the answer is dropped under its reader, which sees the stream end early and not a whole answer.
+/// Guards against an answer that stays in memory forever because its reader's connection is dead
+/// and the reader is never dropped. The answer must be evicted when its retention ends, and the
+/// reader must see a truncated stream, not a complete answer.
 #[tokio::test]
-async fn unread_answer_is_dropped_in_its_time() {
-    let bench = bench().await;
-    let mut dispatch = bench.attempt(1, "/huge");
+async fn unread_answer_is_evicted_when_its_retention_ends() {
+    let fixture = fixture().await;
+    let mut dispatch = fixture.attempt(1, "/huge");
     dispatch.budget = TimeBudget::from_millis(500);
-    let mut frames = bench.open(&dispatch).await;
+    let mut frames = fixture.open(&dispatch).await;
 
-    until_forgotten(&bench, &dispatch).await;
+    wait_until_evicted(&fixture, &dispatch).await;
     let broken = loop {
-        match soon(frames.next()).await {
+        match with_timeout(frames.next()).await {
             Ok(Frame::Chunk(_)) => {}
-            Ok(Frame::End(end)) => panic!("the answer passes for whole: {end:?}"),
+            Ok(Frame::End(end)) => panic!("the answer appears complete: {end:?}"),
             Err(error) => break error,
         }
     };
-    let fetched = whole(bench.fetch(&dispatch, 0).await, dispatch.attempt, 0).await;
+    let fetched = read_to_end(fixture.fetch(&dispatch, 0).await, dispatch.attempt, 0).await;
 
     assert!(matches!(broken, FrameError::Truncated), "{broken}");
     assert_eq!(fetched.code(), ResultCode::OutcomeUnknown);
 }
 
-/// A faulty engine streams without end.
-/// Kept whole, its answer would take the sidecar's memory. Beyond the bound the work is cancelled,
-/// and no part of it passes for a whole answer.
+/// Guards against an engine whose endless stream exhausts the sidecar's memory. Beyond the size
+/// limit the work must be cancelled, and no part of it may appear as a complete answer.
 #[tokio::test]
-async fn result_beyond_its_bound_is_cancelled() {
-    let bench = bench_with(|config| config.limits.max_result = ByteSize::from_bytes(1000)).await;
+async fn result_beyond_the_size_limit_is_cancelled() {
+    let fixture =
+        fixture_with(|config| config.limits.max_result = ByteSize::from_bytes(1000)).await;
 
-    let ended = bench.run(&bench.attempt(1, "/big")).await;
+    let ended = fixture.run(&fixture.attempt(1, "/big")).await;
 
     assert_eq!(ended.code(), ResultCode::Cancelled);
 }
 
-/// Many slots end at once while many attempts wait.
-/// Each attempt runs exactly once and gets its own answer, never that of another.
+/// Guards against mixed-up answers when many attempts end at once while many others are queued.
+/// Each attempt must run exactly once and get its own answer.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn crowd_gets_each_its_own_answer() {
-    let bench = bench_with(|config| {
+async fn concurrent_attempts_get_their_own_answers() {
+    let fixture = fixture_with(|config| {
         config.limits.queue = FairQueueLimits {
             slots: 4,
             capacity: 256,
@@ -202,21 +204,21 @@
     let attempts: Vec<Dispatch> = (0..200_u32)
         .map(|number| Dispatch {
             input: format!("truck {number}").into_bytes(),
-            ..bench.attempt(number.into(), "/echo")
+            ..fixture.attempt(number.into(), "/echo")
         })
         .collect();
 
     let mut sent = Vec::new();
     for dispatch in &attempts {
-        sent.push(bench.open(dispatch).await);
+        sent.push(fixture.open(dispatch).await);
     }
     let mut answers = Vec::new();
     for (frames, dispatch) in sent.into_iter().zip(&attempts) {
-        answers.push(whole(frames, dispatch.attempt, 0).await);
+        answers.push(read_to_end(frames, dispatch.attempt, 0).await);
     }
 
     for (answer, dispatch) in answers.iter().zip(&attempts) {
         assert_eq!(answer.result, dispatch.input);
     }
-    assert_eq!(bench.backend.calls().len(), attempts.len());
+    assert_eq!(fixture.backend.calls().len(), attempts.len());
 }
--- a/crates/amaranthscale/tests/sidecar_attempts.rs
+++ b/crates/amaranthscale/tests/sidecar_attempts.rs
@@ -1,4 +1,4 @@
-//! What a sidecar does with attempts that come twice, late, or for another.
+//! Duplicate, revoked, expired and misdirected attempts at a sidecar.
 #![expect(
     clippy::unwrap_used,
     reason = "fixtures fail by panicking, like the tests that use them"
@@ -13,164 +13,164 @@
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::unit::{SidecarClock, TimeBudget};
 use amaranthscale_core::wire::{Dispatch, RevokeAnswer};
-use sidecar_support::{Bench, bench, whole};
+use sidecar_support::{Fixture, fixture, read_to_end};
 
-/// Long enough for the sidecar to drop what it need not keep.
+/// Long enough for the sidecar to process several ticks.
 const SEVERAL_TICKS: Duration = Duration::from_millis(400);
 
-/// Runs an attempt whose call is held, up to the call.
-async fn start_held(bench: &Bench, dispatch: &Dispatch) -> FrameReader {
-    let frames = bench.open(dispatch).await;
-    bench.backend.called(1).await;
+/// Starts an attempt and waits until its blocked call has reached the backend server.
+async fn start_blocked_call(fixture: &Fixture, dispatch: &Dispatch) -> FrameReader {
+    let frames = fixture.open(dispatch).await;
+    fixture.backend.wait_for_calls(1).await;
     frames
 }
 
-/// A network that repeats a message, or an entry with a fault, delivers an attempt twice.
-/// The second delivery comes while the first one runs. A user would see the truck assessed twice;
-/// the ledger knows the attempt and refuses the second delivery.
+/// Guards against running an attempt twice that the network or a faulty entry delivers twice. The
+/// ledger must refuse further deliveries, both while the first one runs and afterwards.
 #[tokio::test]
-async fn duplicated_dispatch_runs_once() {
-    let bench = bench().await;
-    let dispatch = bench.attempt(1, "/held");
-    let first = start_held(&bench, &dispatch).await;
+async fn duplicate_dispatch_runs_once() {
+    let fixture = fixture().await;
+    let dispatch = fixture.attempt(1, "/held");
+    let first = start_blocked_call(&fixture, &dispatch).await;
 
-    let second = bench.run(&dispatch).await;
-    bench.backend.let_go();
-    let first = whole(first, dispatch.attempt, 0).await;
-    let third = bench.run(&dispatch).await;
+    let second = fixture.run(&dispatch).await;
+    fixture.backend.release_call();
+    let first = read_to_end(first, dispatch.attempt, 0).await;
+    let third = fixture.run(&dispatch).await;
 
     assert_eq!(second.code(), ResultCode::DuplicateAttempt);
     assert_eq!(third.code(), ResultCode::DuplicateAttempt);
     assert_eq!(first.code(), ResultCode::Complete);
-    assert_eq!(bench.backend.calls().len(), 1);
+    assert_eq!(fixture.backend.calls().len(), 1);
 }
 
-/// An entry gives an attempt up while it waits in the queue, and sends the work elsewhere.
-/// If the attempt still started here, the work would run twice. The revocation takes it out of
-/// the queue and ends its answer.
+/// Guards against running work twice that an entry has revoked while it was queued and sent
+/// elsewhere. The revocation must remove the attempt from the queue and end its answer.
 #[tokio::test]
-async fn revoked_in_queue_never_runs() {
-    let bench = bench().await;
-    let running = bench.attempt(1, "/held");
-    let running_frames = start_held(&bench, &running).await;
-    let waiting = bench.attempt(2, "/echo");
-    let waiting_frames = bench.open(&waiting).await;
-    bench.stamp_when(|stamp| stamp.load.queued_paid == 1).await;
-
-    let answer = bench.revoke(&waiting, false).await;
-    bench.backend.let_go();
-    whole(running_frames, running.attempt, 0).await;
-    let ended = whole(waiting_frames, waiting.attempt, 0).await;
+async fn attempt_revoked_in_the_queue_never_runs() {
+    let fixture = fixture().await;
+    let running = fixture.attempt(1, "/held");
+    let running_frames = start_blocked_call(&fixture, &running).await;
+    let queued = fixture.attempt(2, "/echo");
+    let queued_frames = fixture.open(&queued).await;
+    fixture
+        .wait_for_stamp(|stamp| stamp.load.queued_paid == 1)
+        .await;
+
+    let answer = fixture.revoke(&queued, false).await;
+    fixture.backend.release_call();
+    read_to_end(running_frames, running.attempt, 0).await;
+    let ended = read_to_end(queued_frames, queued.attempt, 0).await;
 
     assert_eq!(answer, RevokeAnswer::Revoked);
     assert_eq!(ended.code(), ResultCode::AttemptRevoked);
-    assert_eq!(bench.backend.calls().len(), 1);
+    assert_eq!(fixture.backend.calls().len(), 1);
 }
 
-/// A dispatch is slow on its way; the entry asks on a new connection and overtakes it.
-/// It hears "did not run" and repeats the work elsewhere. Then the dispatch arrives. It finds the
-/// mark that the revocation left, and does not run.
+/// Guards against running work twice when a revocation overtakes a delayed dispatch on another
+/// connection. The entry is told "not run" and repeats the work elsewhere, so the dispatch must not
+/// run when it arrives later.
 #[tokio::test]
-async fn revoked_before_arrival_never_runs() {
-    let bench = bench().await;
-    let dispatch = bench.attempt(1, "/echo");
+async fn attempt_revoked_before_its_arrival_never_runs() {
+    let fixture = fixture().await;
+    let dispatch = fixture.attempt(1, "/echo");
 
-    let answer = bench.revoke(&dispatch, false).await;
-    let late = bench.run(&dispatch).await;
+    let answer = fixture.revoke(&dispatch, false).await;
+    let late = fixture.run(&dispatch).await;
 
     assert_eq!(answer, RevokeAnswer::Revoked);
     assert_eq!(late.code(), ResultCode::AttemptRevoked);
-    assert!(bench.backend.calls().is_empty());
+    assert!(fixture.backend.calls().is_empty());
 }
 
-/// A sidecar restarts, and an attempt meant for its former life arrives.
-/// The former life may have run it already. The new life refuses it, and never says of it that it
-/// did not run.
+/// Guards against running an attempt that the sidecar's previous incarnation may have run before a
+/// restart. The new incarnation must refuse it and must not report that it did not run.
 #[tokio::test]
-async fn another_incarnation_is_refused() {
-    let bench = bench().await;
-    let mut dispatch = bench.attempt(1, "/echo");
-    dispatch.incarnation = bench.other_incarnation();
+async fn attempt_for_another_incarnation_is_refused() {
+    let fixture = fixture().await;
+    let mut dispatch = fixture.attempt(1, "/echo");
+    dispatch.incarnation = fixture.other_incarnation();
 
-    let refused = bench.run(&dispatch).await;
-    let revoked = bench.revoke(&dispatch, false).await;
-    let fetched = whole(bench.fetch(&dispatch, 0).await, dispatch.attempt, 0).await;
+    let refused = fixture.run(&dispatch).await;
+    let revoked = fixture.revoke(&dispatch, false).await;
+    let fetched = read_to_end(fixture.fetch(&dispatch, 0).await, dispatch.attempt, 0).await;
 
     assert_eq!(refused.code(), ResultCode::WrongIncarnation);
     assert_eq!(revoked, RevokeAnswer::OtherIncarnation);
     assert_eq!(fetched.code(), ResultCode::OutcomeUnknown);
-    assert!(bench.backend.calls().is_empty());
+    assert!(fixture.backend.calls().is_empty());
 }
 
-/// An entry is frozen for an hour with an attempt in its socket, and wakes.
-/// The attempt has expired: its caller has long been answered. Run now, it would be work that
-/// nobody waits for, or a second run.
+/// Guards against running an attempt that an entry sends long after its expiry, for instance
+/// because the entry was frozen for an hour. Its caller has been answered, so the work would be
+/// wasted or done twice.
 #[tokio::test]
 async fn expired_attempt_never_runs() {
-    let bench = bench().await;
-    let mut dispatch = bench.attempt(1, "/echo");
+    let fixture = fixture().await;
+    let mut dispatch = fixture.attempt(1, "/echo");
     dispatch.expiry = SidecarClock::from_millis(1);
-    bench.clock_past(dispatch.expiry).await;
+    fixture.wait_for_clock(dispatch.expiry).await;
 
-    let refused = bench.run(&dispatch).await;
-    let revoked = bench.revoke(&dispatch, false).await;
+    let refused = fixture.run(&dispatch).await;
+    let revoked = fixture.revoke(&dispatch, false).await;
 
     assert_eq!(refused.code(), ResultCode::AttemptExpired);
     assert_eq!(revoked, RevokeAnswer::Forgotten);
-    assert!(bench.backend.calls().is_empty());
+    assert!(fixture.backend.calls().is_empty());
 }
 
-/// A clerk asks for an assessment while a long one holds the only slot.
-/// The deadline passes in the queue. The clerk is told so, and the assessment does not run when
-/// the slot comes free afterwards.
+/// Guards against starting an attempt whose deadline has passed in the queue. It must be refused
+/// when the deadline passes and must not run when the only slot becomes free afterwards.
 #[tokio::test]
-async fn deadline_passes_in_queue() {
-    let bench = bench().await;
-    let running = bench.attempt(1, "/held");
-    let running_frames = start_held(&bench, &running).await;
-    let mut waiting = bench.attempt(2, "/echo");
-    waiting.budget = TimeBudget::from_millis(50);
+async fn attempt_is_refused_when_its_deadline_passes_in_the_queue() {
+    let fixture = fixture().await;
+    let running = fixture.attempt(1, "/held");
+    let running_frames = start_blocked_call(&fixture, &running).await;
+    let mut queued = fixture.attempt(2, "/echo");
+    queued.budget = TimeBudget::from_millis(50);
 
-    let refused = bench.run(&waiting).await;
-    bench.backend.let_go();
-    whole(running_frames, running.attempt, 0).await;
+    let refused = fixture.run(&queued).await;
+    fixture.backend.release_call();
+    read_to_end(running_frames, running.attempt, 0).await;
 
     assert_eq!(refused.code(), ResultCode::ExpiredInQueue);
-    assert_eq!(bench.backend.calls().len(), 1);
+    assert_eq!(fixture.backend.calls().len(), 1);
 }
 
-/// An assessment waits until the time that the later stages need is all that is left.
-/// Started then, it would hold a slot for an answer that comes too late for them. Its expiry ends
-/// its wait, although the request's own deadline is far.
+/// Guards against starting an attempt when the remaining time is only enough for the later stages:
+/// it would use a slot for an answer that is too late. It must be refused at its expiry, although
+/// the request's deadline is far away.
 #[tokio::test]
-async fn expiry_passes_in_queue() {
-    let bench = bench().await;
-    let running = bench.attempt(1, "/held");
-    let running_frames = start_held(&bench, &running).await;
-    let mut waiting = bench.attempt(2, "/echo");
-    waiting.expiry = bench.hello().await.clock.plus(Duration::from_millis(50));
+async fn attempt_is_refused_when_its_expiry_passes_in_the_queue() {
+    let fixture = fixture().await;
+    let running = fixture.attempt(1, "/held");
+    let running_frames = start_blocked_call(&fixture, &running).await;
+    let mut queued = fixture.attempt(2, "/echo");
+    queued.expiry = fixture.hello().await.clock.plus(Duration::from_millis(50));
 
-    let refused = bench.run(&waiting).await;
-    bench.backend.let_go();
-    whole(running_frames, running.attempt, 0).await;
+    let refused = fixture.run(&queued).await;
+    fixture.backend.release_call();
+    read_to_end(running_frames, running.attempt, 0).await;
 
     assert_eq!(refused.code(), ResultCode::ExpiredInQueue);
-    assert_eq!(bench.backend.calls().len(), 1);
+    assert_eq!(fixture.backend.calls().len(), 1);
 }
 
-/// An assessment takes longer than the later stages' estimates leave it.
-/// Cut off at its expiry, a truck's answer would be lost although the later stages may be quick.
-/// The expiry only ends the wait in the queue; what runs may use all of its budget.
+/// Guards against cancelling a running attempt at its expiry, which would lose an answer although
+/// the later stages may be faster than estimated. The expiry only limits the time in the queue; a
+/// running attempt may use all of its budget.
 #[tokio::test]
-async fn running_work_outlives_its_expiry() {
-    let bench = bench().await;
-    let mut dispatch = bench.attempt(1, "/held");
-    dispatch.expiry = bench.hello().await.clock.plus(SEVERAL_TICKS);
-    let frames = start_held(&bench, &dispatch).await;
-    bench.clock_past(dispatch.expiry.plus(SEVERAL_TICKS)).await;
-
-    bench.backend.let_go();
-    let answer = whole(frames, dispatch.attempt, 0).await;
+async fn running_attempt_may_exceed_its_expiry() {
+    let fixture = fixture().await;
+    let mut dispatch = fixture.attempt(1, "/held");
+    dispatch.expiry = fixture.hello().await.clock.plus(SEVERAL_TICKS);
+    let frames = start_blocked_call(&fixture, &dispatch).await;
+    fixture
+        .wait_for_clock(dispatch.expiry.plus(SEVERAL_TICKS))
+        .await;
+
+    fixture.backend.release_call();
+    let answer = read_to_end(frames, dispatch.attempt, 0).await;
 
     assert_eq!(answer.code(), ResultCode::Complete);
 }
--- a/crates/amaranthscale/tests/sidecar_claims.rs
+++ b/crates/amaranthscale/tests/sidecar_claims.rs
@@ -1,4 +1,4 @@
-//! What a sidecar does when the table or the backend server fails around a claim.
+//! Failures of the table or the backend server around a claim.
 #![expect(
     clippy::unwrap_used,
     reason = "fixtures fail by panicking, like the tests that use them"
@@ -15,10 +15,10 @@
 use amaranthscale_core::unit::TimeBudget;
 use amaranthscale_core::wire::{Dispatch, Row};
 use sidecar_support::{
-    Bench, BreakingBackend, bench, bench_with, open, start_sidecar, ticket, whole,
+    BreakingBackend, Fixture, fixture, fixture_with, open, read_to_end, start_sidecar, ticket,
 };
 
-/// Long enough for the sidecar to drop what it need not keep.
+/// Long enough for the sidecar to evict answers that have expired.
 const SEVERAL_TICKS: Duration = Duration::from_millis(400);
 
 fn reading(row: &Row) -> ClaimStatus {
@@ -29,198 +29,194 @@
     row.version.get() > 0 && matches!(reading(row), ClaimStatus::Free { .. })
 }
 
-/// Runs an attempt whose call is held, up to the call.
-async fn start_held(bench: &Bench, dispatch: &Dispatch) -> FrameReader {
-    let frames = bench.open(dispatch).await;
-    bench.backend.called(1).await;
+/// Starts an attempt and waits until its blocked call has reached the backend server.
+async fn start_blocked_call(fixture: &Fixture, dispatch: &Dispatch) -> FrameReader {
+    let frames = fixture.open(dispatch).await;
+    fixture.backend.wait_for_calls(1).await;
     frames
 }
 
-/// A balancer doubles a grower's settlement, and two entries send it to two sidecars.
-/// Both read the same version of the claim row. Paying twice would have to be reclaimed from the
-/// grower; only one of the two claims can win the version.
+/// Guards against paying a settlement twice that a load balancer duplicates, so that two entries
+/// send it to two sidecars with the same version of the claim row. Only one claim may win.
 #[tokio::test]
-async fn claim_raced_by_two_sidecars_runs_once() {
-    let bench = bench().await;
-    let other = start_sidecar(&bench.table, bench.backend.address(), |config| {
+async fn call_claimed_by_two_sidecars_runs_once() {
+    let fixture = fixture().await;
+    let other = start_sidecar(&fixture.table, fixture.backend.address(), |config| {
         config.host = "weighbridge-2".parse().unwrap();
     })
     .await;
-    let here = bench.claimed(1, "/echo");
-    let mut there = bench.claimed(2, "/echo");
+    let here = fixture.claimed(1, "/echo");
+    let mut there = fixture.claimed(2, "/echo");
     there.incarnation = other.incarnation();
 
-    let (here_answer, there_answer) = tokio::join!(bench.run(&here), async {
-        let frames = open(&bench.entry, other.address(), &there).await;
-        whole(frames, there.attempt, 0).await
+    let (here_answer, there_answer) = tokio::join!(fixture.run(&here), async {
+        let frames = open(&fixture.entry, other.address(), &there).await;
+        read_to_end(frames, there.attempt, 0).await
     });
 
     let mut codes = [here_answer.code(), there_answer.code()];
     codes.sort();
     assert_eq!(codes, [ResultCode::Complete, ResultCode::ClaimLost]);
-    assert_eq!(bench.backend.calls().len(), 1);
+    assert_eq!(fixture.backend.calls().len(), 1);
 }
 
-/// The platform's table refuses every call, and a settlement comes in.
-/// Without a claim it might be paid twice, so it is not paid: the caller hears "not run", nothing
-/// reaches the ledger, and the row stays free for a repeat.
+/// Guards against making a call without a claim while the table refuses every call, since it could
+/// be made twice. The attempt must be refused as "not run", the backend server must not be called,
+/// and the row must stay free for a retry.
 #[tokio::test]
-async fn table_down_before_the_claim_refuses() {
-    let bench = bench().await;
-    bench.table.set_down(true);
+async fn attempt_is_refused_while_the_table_is_down() {
+    let fixture = fixture().await;
+    fixture.table.set_down(true);
 
-    let refused = bench.run(&bench.claimed(1, "/echo")).await;
-    bench.table.set_down(false);
-    let repeated = bench.run(&bench.claimed(2, "/echo")).await;
+    let refused = fixture.run(&fixture.claimed(1, "/echo")).await;
+    fixture.table.set_down(false);
+    let repeated = fixture.run(&fixture.claimed(2, "/echo")).await;
 
     assert_eq!(refused.code(), ResultCode::TableAway);
     assert_eq!(repeated.code(), ResultCode::Complete);
-    assert_eq!(bench.backend.calls().len(), 1);
+    assert_eq!(fixture.backend.calls().len(), 1);
 }
 
-/// The claim takes effect, and the table's answer to it is lost.
-/// Taken for a lost race, the settlement would never run and its row would block every repeat.
-/// The sidecar reads the row back, finds its own mark, and makes the call once.
+/// Guards against treating a claim whose reply was lost as a lost race: the call would never run,
+/// and its row would block every retry. The sidecar must read the row back, find its own claim and
+/// make the call once.
 #[tokio::test]
-async fn lost_answer_to_the_claim_is_settled() {
-    let bench = bench().await;
-    bench.table.lose_answers(1);
+async fn claim_with_a_lost_reply_is_settled() {
+    let fixture = fixture().await;
+    fixture.table.lose_answers(1);
 
-    let answer = bench.run(&bench.claimed(1, "/echo")).await;
+    let answer = fixture.run(&fixture.claimed(1, "/echo")).await;
 
     assert_eq!(answer.code(), ResultCode::Complete);
-    assert_eq!(bench.backend.calls().len(), 1);
+    assert_eq!(fixture.backend.calls().len(), 1);
 }
 
-/// The claim is stuck on its way, and so is each repeat of it, until the caller is told "not run".
-/// Then the table takes the claim after all. A row claimed by a call that nobody makes would
-/// refuse the grower's payment for good; the sidecar finds its late claim and frees the row, and
-/// does not make the call.
+/// Guards against a row that stays claimed by a call that is never made. It happens when the claim
+/// and its retries are delayed until the caller was told "not run" and then take effect. The
+/// sidecar must find its late claim, free the row and not make the call.
 #[tokio::test]
 async fn claim_that_takes_effect_late_is_freed() {
-    let bench = bench().await;
+    let fixture = fixture().await;
     let key = ticket().key.to_string();
-    bench.table.hold(usize::MAX);
+    fixture.table.delay_transactions(usize::MAX);
 
-    let refused = bench.run(&bench.claimed(1, "/echo")).await;
-    bench.table.let_held_take_effect();
-    bench.table.hold(0);
-    let row = bench.table.row_when(&key, is_free).await;
-    let mut repeat = bench.claimed(2, "/echo");
+    let refused = fixture.run(&fixture.claimed(1, "/echo")).await;
+    fixture.table.apply_delayed();
+    fixture.table.delay_transactions(0);
+    let row = fixture.table.wait_for_row(&key, is_free).await;
+    let mut repeat = fixture.claimed(2, "/echo");
     repeat.claim.as_mut().unwrap().version = row.version;
-    let repeated = bench.run(&repeat).await;
+    let repeated = fixture.run(&repeat).await;
 
     assert_eq!(refused.code(), ResultCode::TableAway);
     assert_eq!(repeated.code(), ResultCode::Complete);
-    assert_eq!(bench.backend.calls(), [repeat.attempt.to_string()]);
+    assert_eq!(fixture.backend.calls(), [repeat.attempt.to_string()]);
 }
 
-/// The table goes away while a settlement runs, and comes back later.
-/// The grower is paid; a lost outcome would have the entry call it unknown. The sidecar answers at
-/// once, keeps the outcome in memory, and writes it when the table is back.
+/// Guards against losing the outcome of a call that ends while the table is down, which would make
+/// it unknown. The sidecar must answer at once, retain the outcome and write it when the table is
+/// back.
 #[tokio::test]
-async fn outcome_waits_for_the_table() {
-    let bench = bench_with(|config| config.limits.ledger.keep_finished = Duration::ZERO).await;
+async fn outcome_is_retained_until_the_table_is_back() {
+    let fixture = fixture_with(|config| config.limits.ledger.keep_finished = Duration::ZERO).await;
     let key = ticket().key.to_string();
-    let dispatch = bench.claimed(1, "/held");
-    let frames = start_held(&bench, &dispatch).await;
-    bench.table.set_down(true);
-    bench.backend.let_go();
+    let dispatch = fixture.claimed(1, "/held");
+    let frames = start_blocked_call(&fixture, &dispatch).await;
+    fixture.table.set_down(true);
+    fixture.backend.release_call();
 
-    let answer = whole(frames, dispatch.attempt, 0).await;
+    let answer = read_to_end(frames, dispatch.attempt, 0).await;
     let swept = answer.end.stamp.clock.plus(SEVERAL_TICKS);
-    bench.clock_past(swept).await;
-    let fetched = whole(bench.fetch(&dispatch, 0).await, dispatch.attempt, 0).await;
-    bench.table.set_down(false);
+    fixture.wait_for_clock(swept).await;
+    let fetched = read_to_end(fixture.fetch(&dispatch, 0).await, dispatch.attempt, 0).await;
+    fixture.table.set_down(false);
     let is_finished = |row: &Row| matches!(reading(row), ClaimStatus::Finished { .. });
-    bench.table.row_when(&key, is_finished).await;
+    fixture.table.wait_for_row(&key, is_finished).await;
 
     assert_eq!(answer.code(), ResultCode::Complete);
     assert_eq!(fetched.result, answer.result);
 }
 
-/// The table is away for long, and settlements keep coming.
-/// Each one whose claim is not settled stays in memory. Beyond the bound they are refused before
-/// anything is written, so that the sidecar does not run out of memory.
+/// Guards against exhausting the sidecar's memory with unsettled claims during a long outage of the
+/// table. Beyond the limit, attempts must be refused before anything is written.
 #[tokio::test]
-async fn unsettled_claims_are_bounded() {
-    let bench = bench_with(|config| config.limits.max_unsettled_claims = 1).await;
-    bench.table.hold(usize::MAX);
-    let (first, second) = (bench.claimed(1, "/echo"), bench.claimed(2, "/echo"));
+async fn unsettled_claims_are_limited() {
+    let fixture = fixture_with(|config| config.limits.max_unsettled_claims = 1).await;
+    fixture.table.delay_transactions(usize::MAX);
+    let (first, second) = (fixture.claimed(1, "/echo"), fixture.claimed(2, "/echo"));
     let first_request = first.attempt.request.to_string();
     let second_request = second.attempt.request.to_string();
 
-    let first = bench.run(&first).await;
-    let second = bench.run(&second).await;
+    let first = fixture.run(&first).await;
+    let second = fixture.run(&second).await;
 
-    assert!(bench.table.is_held_with(&first_request));
-    assert!(!bench.table.is_held_with(&second_request));
+    assert!(fixture.table.is_delayed_with(&first_request));
+    assert!(!fixture.table.is_delayed_with(&second_request));
     assert_eq!(first.code(), ResultCode::TableAway);
     assert_eq!(second.code(), ResultCode::TableAway);
-    assert!(bench.table.rows("claim/").is_empty());
-    assert!(bench.backend.calls().is_empty());
+    assert!(fixture.table.rows("claim/").is_empty());
+    assert!(fixture.backend.calls().is_empty());
 }
 
-/// The backend server dies in the middle of an assessment.
-/// The clerk must not get half an assessment for a whole one. The entry hears that the server
-/// broke off after it had started, and may send the work elsewhere.
+/// Guards against passing on half a result as complete when the backend server fails in the middle
+/// of an answer. The entry must be told that the server failed after it had started, so that it may
+/// send the work elsewhere.
 #[tokio::test]
-async fn backend_that_breaks_is_reported() {
+async fn failure_of_the_backend_server_is_reported() {
     let broken = BreakingBackend::start().await;
-    let bench = bench_with(|config| config.backend = broken.address()).await;
+    let fixture = fixture_with(|config| config.backend = broken.address()).await;
 
-    let answer = bench.run(&bench.attempt(1, "/echo")).await;
+    let answer = fixture.run(&fixture.attempt(1, "/echo")).await;
 
     assert_eq!(answer.code(), ResultCode::BackendBroke);
     assert_eq!(broken.calls(), 1);
 }
 
-/// The backend server dies in the middle of a settlement.
-/// Whether the grower was paid cannot be told. The answer says so, the row keeps it, and nobody
-/// makes the call again under this key.
+/// Guards against repeating a settlement whose backend server failed in the middle, so that it is
+/// unknown whether it was paid. The answer and the row must show the outcome as unknown, which
+/// prevents another call with this key.
 #[tokio::test]
-async fn backend_that_breaks_leaves_a_claimed_call_unknown() {
+async fn failure_of_the_backend_server_leaves_a_claimed_call_unknown() {
     let broken = BreakingBackend::start().await;
-    let bench = bench_with(|config| config.backend = broken.address()).await;
+    let fixture = fixture_with(|config| config.backend = broken.address()).await;
     let key = ticket().key.to_string();
 
-    let answer = bench.run(&bench.claimed(1, "/echo")).await;
+    let answer = fixture.run(&fixture.claimed(1, "/echo")).await;
     let is_unknown = |row: &Row| reading(row) == ClaimStatus::Unknown;
-    bench.table.row_when(&key, is_unknown).await;
+    fixture.table.wait_for_row(&key, is_unknown).await;
 
     assert_eq!(answer.code(), ResultCode::OutcomeUnknown);
     assert_eq!(broken.calls(), 1);
 }
 
-/// The backend server is not there, and a settlement comes in.
-/// Not a byte of it was sent, so it truly did not run. The claim is freed before the entry hears
-/// of it, and the next attempt can go to another server at once.
+/// Guards against a claim that still exists when the entry sends the next attempt. If the backend
+/// server cannot be reached, no byte was sent and the call did not run, so the claim must be freed
+/// before the entry is answered.
 #[tokio::test]
 async fn unreachable_backend_frees_the_claim() {
     let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = closed.local_addr().unwrap();
     drop(closed);
-    let bench = bench_with(|config| config.backend = address).await;
+    let fixture = fixture_with(|config| config.backend = address).await;
 
-    let refused = bench.run(&bench.claimed(1, "/echo")).await;
-    let row = bench.table.row(&ticket().key.to_string());
+    let refused = fixture.run(&fixture.claimed(1, "/echo")).await;
+    let row = fixture.table.row(&ticket().key.to_string());
 
     assert_eq!(refused.code(), ResultCode::BackendUnreachable);
     assert!(is_free(&row), "{row:?}");
 }
 
-/// A backend server is stuck, and the deadline passes while an assessment runs.
-/// Without a cut, the stuck call would hold its slot for good. Repeatable work is cancelled, and
-/// the slot takes the next attempt.
+/// Guards against an unresponsive backend server whose call holds its slot forever. Repeatable work
+/// must be cancelled when the deadline passes, and the slot must serve the next attempt.
 #[tokio::test]
 async fn deadline_cancels_repeatable_work() {
-    let bench = bench().await;
-    let mut dispatch = bench.attempt(1, "/held");
+    let fixture = fixture().await;
+    let mut dispatch = fixture.attempt(1, "/held");
     dispatch.budget = TimeBudget::from_millis(50);
 
-    let ended = bench.run(&dispatch).await;
-    let cancelled = bench.backend.cancelled().await;
-    let next = bench.run(&bench.attempt(2, "/echo")).await;
+    let ended = fixture.run(&dispatch).await;
+    let cancelled = fixture.backend.wait_for_cancellation().await;
+    let next = fixture.run(&fixture.attempt(2, "/echo")).await;
 
     assert_eq!(ended.code(), ResultCode::DeadlinePassed);
     assert_eq!(cancelled, dispatch.attempt.to_string());
--- a/crates/amaranthscale/tests/sidecar_daemon.rs
+++ b/crates/amaranthscale/tests/sidecar_daemon.rs
@@ -1,4 +1,4 @@
-//! The sidecar as a process of its own.
+//! The sidecar as a separate process.
 #![expect(
     clippy::unwrap_used,
     reason = "fixtures fail by panicking, like the tests that use them"
@@ -18,15 +18,18 @@
 use amaranthscale_core::wire::Dispatch;
 use nix::sys::wait::{WaitPidFlag, WaitStatus, waitpid};
 use nix::unistd::Pid;
-use sidecar_support::{Bench, FakeBackend, FakeTable, bench, hello, new_entry, open, whole};
+use sidecar_support::{
+    FakeBackend, FakeTable, Fixture, fixture, hello, new_entry, open, read_to_end,
+};
 use tempfile::NamedTempFile;
 
-/// How long a sidecar is frozen: shorter than the silence at which its entry drops the connection.
-const FROZEN: Duration = Duration::from_millis(400);
+/// Time for which a sidecar is frozen; shorter than the timeout after which its entry drops the
+/// connection.
+const FREEZE_DURATION: Duration = Duration::from_millis(400);
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_amaranth-sidecar");
 
-/// A sidecar's process; it is killed with the test.
+/// A sidecar's process, killed on drop.
 struct Daemon {
     child: Child,
     address: SocketAddr,
@@ -57,8 +60,8 @@
         self.signal("TERM");
     }
 
-    /// Freezes the process, and waits until all of its threads stand still: one that had not yet
-    /// would take what is sent next, as if nothing had frozen.
+    /// Freezes the process and waits until all of its threads have stopped; a thread still running
+    /// would process the next message.
     fn freeze(&self) {
         self.signal("STOP");
         let process = Pid::from_raw(i32::try_from(self.child.id()).unwrap());
@@ -72,7 +75,7 @@
         assert!(kill.unwrap().success());
     }
 
-    async fn until_leaving(&self, entry: &PeerClient) {
+    async fn wait_until_leaving(&self, entry: &PeerClient) {
         while !hello(entry, self.address).await.is_leaving {
             tokio::task::yield_now().await;
         }
@@ -100,16 +103,16 @@
     file
 }
 
-async fn attempt_for(bench: &Bench, daemon: &Daemon, path: &str) -> Dispatch {
-    let stamp = hello(&bench.entry, daemon.address).await;
+async fn attempt_for(fixture: &Fixture, daemon: &Daemon, path: &str) -> Dispatch {
+    let stamp = hello(&fixture.entry, daemon.address).await;
     Dispatch {
         incarnation: stamp.incarnation,
-        ..bench.attempt(1, path)
+        ..fixture.attempt(1, path)
     }
 }
 
 #[test]
-fn checks_its_settings() {
+fn check_reports_invalid_settings() {
     let mut file = NamedTempFile::new().unwrap();
     write!(file, "[sidecar]\nhost = weighbridge-1\nslots = many\n").unwrap();
 
@@ -125,7 +128,7 @@
 }
 
 #[test]
-fn lists_its_settings() {
+fn print_settings_lists_all_keys() {
     let listed = Command::new(PROGRAM)
         .arg("--print-settings")
         .output()
@@ -135,22 +138,22 @@
     assert!(listed.contains("paid_reserve_slots"), "{listed}");
 }
 
-/// The platform replaces a host and sends its sidecar SIGTERM while a summary streams.
-/// The caseworker must get the whole summary. The process takes nothing new, lets the stream end
-/// and exits cleanly, having printed nothing but its address.
+/// Guards against a truncated stream when the platform replaces a host and sends SIGTERM to its
+/// sidecar. The process must refuse new attempts, let the stream end and exit with success, having
+/// printed nothing but its address.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn sigterm_lets_a_stream_end() {
-    let bench = bench().await;
-    let file = settings(&bench.backend, &bench.table);
+async fn sigterm_waits_for_a_stream_to_end() {
+    let fixture = fixture().await;
+    let file = settings(&fixture.backend, &fixture.table);
     let mut daemon = Daemon::start(file.path());
-    let dispatch = attempt_for(&bench, &daemon, "/stream").await;
-    let mut frames = open(&bench.entry, daemon.address, &dispatch).await;
+    let dispatch = attempt_for(&fixture, &daemon, "/stream").await;
+    let mut frames = open(&fixture.entry, daemon.address, &dispatch).await;
     frames.next().await.unwrap();
 
     daemon.terminate();
-    daemon.until_leaving(&bench.entry).await;
-    bench.backend.let_go();
-    let rest = whole(frames, dispatch.attempt, 1).await;
+    daemon.wait_until_leaving(&fixture.entry).await;
+    fixture.backend.release_call();
+    let rest = read_to_end(frames, dispatch.attempt, 1).await;
     let exit = daemon.child.wait().unwrap();
 
     assert_eq!(rest.code(), ResultCode::Complete);
@@ -160,47 +163,47 @@
     assert_eq!(more, "");
 }
 
-/// A backend server hangs while its sidecar drains, and the operator loses patience.
-/// The second SIGTERM ends the process, which says by its exit status that work was left.
+/// A backend server hangs while its sidecar drains. A second SIGTERM must end the process with an
+/// exit status that shows unfinished work.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn second_sigterm_ends_the_drain() {
-    let bench = bench().await;
-    let file = settings(&bench.backend, &bench.table);
+    let fixture = fixture().await;
+    let file = settings(&fixture.backend, &fixture.table);
     let mut daemon = Daemon::start(file.path());
-    let dispatch = attempt_for(&bench, &daemon, "/held").await;
+    let dispatch = attempt_for(&fixture, &daemon, "/held").await;
     let entry = new_entry();
     let _frames = open(&entry, daemon.address, &dispatch).await;
-    bench.backend.called(1).await;
+    fixture.backend.wait_for_calls(1).await;
 
     daemon.terminate();
-    daemon.until_leaving(&entry).await;
+    daemon.wait_until_leaving(&entry).await;
     daemon.terminate();
     let exit = daemon.child.wait().unwrap();
 
     assert!(!exit.success());
 }
 
-/// A host freezes with an attempt in its sidecar's socket, and wakes when all is over.
-/// The entry has long sent the work elsewhere. The sidecar wakes believing that the attempt has
-/// just come in, but its expiry has passed on the sidecar's own clock, and it does not run.
+/// Guards against starting an attempt that waited in the socket of a frozen sidecar while its entry
+/// sent the work elsewhere. After the freeze the attempt seems to have just arrived, but it must
+/// not run because its expiry has passed on the sidecar's clock.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn frozen_sidecar_does_not_start_what_has_expired() {
-    let bench = bench().await;
-    let file = settings(&bench.backend, &bench.table);
+async fn frozen_sidecar_does_not_start_an_expired_attempt() {
+    let fixture = fixture().await;
+    let file = settings(&fixture.backend, &fixture.table);
     let daemon = Daemon::start(file.path());
-    let mut dispatch = attempt_for(&bench, &daemon, "/echo").await;
-    dispatch.expiry = hello(&bench.entry, daemon.address)
+    let mut dispatch = attempt_for(&fixture, &daemon, "/echo").await;
+    dispatch.expiry = hello(&fixture.entry, daemon.address)
         .await
         .clock
-        .plus(FROZEN / 2);
+        .plus(FREEZE_DURATION / 2);
 
     daemon.freeze();
-    let (frames, ()) = tokio::join!(open(&bench.entry, daemon.address, &dispatch), async {
-        tokio::time::sleep(FROZEN).await;
+    let (frames, ()) = tokio::join!(open(&fixture.entry, daemon.address, &dispatch), async {
+        tokio::time::sleep(FREEZE_DURATION).await;
         daemon.signal("CONT");
     });
-    let refused = whole(frames, dispatch.attempt, 0).await;
+    let refused = read_to_end(frames, dispatch.attempt, 0).await;
 
     assert_eq!(refused.code(), ResultCode::AttemptExpired);
-    assert!(bench.backend.calls().is_empty());
+    assert!(fixture.backend.calls().is_empty());
 }
--- a/crates/amaranthscale/tests/sidecar_stopping.rs
+++ b/crates/amaranthscale/tests/sidecar_stopping.rs
@@ -1,4 +1,4 @@
-//! What a sidecar lets end when it leaves or stops.
+//! Leaving and graceful stop of a sidecar.
 #![expect(
     clippy::unwrap_used,
     reason = "fixtures fail by panicking, like the tests that use them"
@@ -16,161 +16,165 @@
 use amaranthscale_core::wire::{Dispatch, Row};
 use hyper::StatusCode;
 use sidecar_support::{
-    Bench, LAST_LINES, bench, bench_with, fetch, hello, new_entry, open, ticket, whole,
+    Fixture, LAST_LINES, fetch, fixture, fixture_with, hello, new_entry, open, read_to_end, ticket,
 };
 
-/// Refused calls after which a stop that does not wait for outcomes would have ended: more than
-/// it takes to write the costs.
+/// Refused table calls after which a stop that does not wait for outcomes would have ended; more
+/// than the write of the costs makes.
 const TABLE_TRIES: usize = 9;
 
-/// New connections that a stop which does not wait would no longer take.
+/// Number of new connections after which a stop that does not wait would have closed the listener.
 const CONNECTIONS_DURING_STOP: usize = 30;
 
 fn reading(row: &Row) -> ClaimStatus {
     read_claim(row, &ticket().fingerprint)
 }
 
-async fn leave(bench: &Bench) {
-    let response = bench.entry.post(bench.address(), "/leave", "").await;
+async fn leave(fixture: &Fixture) {
+    let response = fixture.entry.post(fixture.address(), "/leave", "").await;
     assert_eq!(response.unwrap().status(), StatusCode::OK);
 }
 
-async fn until_leaving(entry: &PeerClient, address: SocketAddr) {
+async fn wait_until_leaving(entry: &PeerClient, address: SocketAddr) {
     while !hello(entry, address).await.is_leaving {
         tokio::task::yield_now().await;
     }
 }
 
-/// Runs an attempt whose call is held, up to the call.
-async fn start_held(bench: &Bench, dispatch: &Dispatch) -> FrameReader {
-    let frames = bench.open(dispatch).await;
-    bench.backend.called(1).await;
+/// Starts an attempt and waits until its blocked call has reached the backend server.
+async fn start_blocked_call(fixture: &Fixture, dispatch: &Dispatch) -> FrameReader {
+    let frames = fixture.open(dispatch).await;
+    fixture.backend.wait_for_calls(1).await;
     frames
 }
 
-/// A backend server is told to leave while one attempt runs and one waits.
-/// It takes nothing new at once. What waits is handed back as not run after the grace, so that it
-/// goes elsewhere in time, and what runs is let end.
+/// A backend server leaves while one attempt runs and one is queued. New attempts must be refused
+/// at once, the queued one must be refused as not run after the grace period, so that it is sent
+/// elsewhere in time, and the running one must end.
 #[tokio::test]
-async fn leaving_takes_nothing_new() {
-    let bench = bench_with(|config| config.limits.leave_grace = Duration::ZERO).await;
-    let running = bench.attempt(1, "/held");
-    let running_frames = start_held(&bench, &running).await;
-    let waiting = bench.attempt(2, "/echo");
-    let waiting_frames = bench.open(&waiting).await;
-    bench.stamp_when(|stamp| stamp.load.queued_paid == 1).await;
-
-    leave(&bench).await;
-    let refused = bench.run(&bench.attempt(3, "/echo")).await;
-    let handed_back = whole(waiting_frames, waiting.attempt, 0).await;
-    bench.backend.let_go();
-    let ended = whole(running_frames, running.attempt, 0).await;
+async fn leaving_refuses_new_and_queued_attempts() {
+    let fixture = fixture_with(|config| config.limits.leave_grace = Duration::ZERO).await;
+    let running = fixture.attempt(1, "/held");
+    let running_frames = start_blocked_call(&fixture, &running).await;
+    let queued = fixture.attempt(2, "/echo");
+    let queued_frames = fixture.open(&queued).await;
+    fixture
+        .wait_for_stamp(|stamp| stamp.load.queued_paid == 1)
+        .await;
+
+    leave(&fixture).await;
+    let refused = fixture.run(&fixture.attempt(3, "/echo")).await;
+    let refused_in_queue = read_to_end(queued_frames, queued.attempt, 0).await;
+    fixture.backend.release_call();
+    let ended = read_to_end(running_frames, running.attempt, 0).await;
 
     assert_eq!(refused.code(), ResultCode::Leaving);
-    assert_eq!(handed_back.code(), ResultCode::Leaving);
+    assert_eq!(refused_in_queue.code(), ResultCode::Leaving);
     assert_eq!(ended.code(), ResultCode::Complete);
-    assert!(bench.hello().await.is_leaving);
-    assert_eq!(bench.backend.calls().len(), 1);
+    assert!(fixture.hello().await.is_leaving);
+    assert_eq!(fixture.backend.calls().len(), 1);
 }
 
-/// A backend server is told to leave while a short queue waits.
-/// What it has admitted may start within the grace; nobody has to go elsewhere for it.
+/// A backend server leaves with a short queue. Queued attempts may start within the grace period
+/// and need not be sent elsewhere.
 #[tokio::test]
-async fn leaving_lets_a_short_queue_run() {
-    let bench = bench_with(|config| config.limits.leave_grace = Duration::from_mins(1)).await;
-    let running = bench.attempt(1, "/held");
-    let running_frames = start_held(&bench, &running).await;
-    let waiting = bench.attempt(2, "/echo");
-    let waiting_frames = bench.open(&waiting).await;
-    bench.stamp_when(|stamp| stamp.load.queued_paid == 1).await;
-
-    leave(&bench).await;
-    let refused = bench.run(&bench.attempt(3, "/echo")).await;
-    bench.backend.let_go();
-    whole(running_frames, running.attempt, 0).await;
-    let waited = whole(waiting_frames, waiting.attempt, 0).await;
+async fn leaving_runs_a_short_queue_within_the_grace_period() {
+    let fixture = fixture_with(|config| config.limits.leave_grace = Duration::from_mins(1)).await;
+    let running = fixture.attempt(1, "/held");
+    let running_frames = start_blocked_call(&fixture, &running).await;
+    let queued = fixture.attempt(2, "/echo");
+    let queued_frames = fixture.open(&queued).await;
+    fixture
+        .wait_for_stamp(|stamp| stamp.load.queued_paid == 1)
+        .await;
+
+    leave(&fixture).await;
+    let refused = fixture.run(&fixture.attempt(3, "/echo")).await;
+    fixture.backend.release_call();
+    read_to_end(running_frames, running.attempt, 0).await;
+    let queued_answer = read_to_end(queued_frames, queued.attempt, 0).await;
 
     assert_eq!(refused.code(), ResultCode::Leaving);
-    assert_eq!(waited.code(), ResultCode::Complete);
-    assert_eq!(bench.backend.calls().len(), 2);
+    assert_eq!(queued_answer.code(), ResultCode::Complete);
+    assert_eq!(fixture.backend.calls().len(), 2);
 }
 
-/// An operator stops a sidecar while a summary streams to a caseworker.
-/// The caseworker must get the whole summary. The stop waits for the stream's end.
+/// Guards against a truncated stream when an operator stops the sidecar: the stop must wait for the
+/// end of the stream.
 #[tokio::test]
-async fn graceful_stop_lets_a_stream_end() {
-    let bench = bench().await;
-    let dispatch = bench.attempt(1, "/stream");
-    let mut frames = bench.open(&dispatch).await;
+async fn graceful_stop_waits_for_a_stream_to_end() {
+    let fixture = fixture().await;
+    let dispatch = fixture.attempt(1, "/stream");
+    let mut frames = fixture.open(&dispatch).await;
     frames.next().await.unwrap();
-    let address = bench.address();
-    let Bench {
+    let address = fixture.address();
+    let Fixture {
         sidecar,
         backend,
         entry,
         ..
-    } = bench;
+    } = fixture;
 
     let stopping = tokio::spawn(sidecar.stop());
-    until_leaving(&entry, address).await;
-    backend.let_go();
-    let rest = whole(frames, dispatch.attempt, 1).await;
+    wait_until_leaving(&entry, address).await;
+    backend.release_call();
+    let rest = read_to_end(frames, dispatch.attempt, 1).await;
 
     assert_eq!(rest.code(), ResultCode::Complete);
     assert_eq!(rest.result, LAST_LINES);
     assert!(stopping.await.unwrap());
 }
 
-/// An operator stops a sidecar while a summary streams, and the entry's connection breaks.
-/// No stream is open then, but the summary is still being written. The sidecar goes on and still
-/// takes the new connection on which the entry fetches the rest.
+/// Guards against a truncated stream when the entry's connection is lost during a stop. No stream
+/// is open then, but the attempt still runs, so the sidecar must continue and accept the new
+/// connection on which the entry fetches the rest.
 #[tokio::test]
 async fn graceful_stop_waits_for_a_fetch() {
-    let bench = bench().await;
-    let dispatch = bench.attempt(1, "/stream");
-    let mut frames = open(&new_entry(), bench.address(), &dispatch).await;
+    let fixture = fixture().await;
+    let dispatch = fixture.attempt(1, "/stream");
+    let mut frames = open(&new_entry(), fixture.address(), &dispatch).await;
     frames.next().await.unwrap();
     drop(frames);
-    let address = bench.address();
-    let Bench {
+    let address = fixture.address();
+    let Fixture {
         sidecar, backend, ..
-    } = bench;
+    } = fixture;
 
     let stopping = tokio::spawn(sidecar.stop());
     for _connection in 0..CONNECTIONS_DURING_STOP {
-        until_leaving(&new_entry(), address).await;
+        wait_until_leaving(&new_entry(), address).await;
     }
     let rest = fetch(&new_entry(), address, &dispatch, 1).await;
-    backend.let_go();
-    let rest = whole(rest, dispatch.attempt, 1).await;
+    backend.release_call();
+    let rest = read_to_end(rest, dispatch.attempt, 1).await;
 
     assert_eq!(rest.code(), ResultCode::Complete);
     assert_eq!(rest.result, LAST_LINES);
     assert!(stopping.await.unwrap());
 }
 
-/// An operator stops a sidecar while the table is away and a settlement's outcome is unwritten.
-/// Stopped at once, the outcome would be lost with the memory. The stop waits for the table.
+/// Guards against losing an outcome that is only in memory when an operator stops the sidecar while
+/// the table is down: the stop must wait for the table.
 #[tokio::test]
-async fn graceful_stop_waits_for_the_outcome_to_be_kept() {
-    let bench = bench().await;
+async fn graceful_stop_waits_for_the_outcome_to_be_stored() {
+    let fixture = fixture().await;
     let key = ticket().key.to_string();
-    let dispatch = bench.claimed(1, "/held");
-    let frames = start_held(&bench, &dispatch).await;
-    bench.table.set_down(true);
-    bench.backend.let_go();
-    whole(frames, dispatch.attempt, 0).await;
-    let address = bench.address();
-    let Bench {
+    let dispatch = fixture.claimed(1, "/held");
+    let frames = start_blocked_call(&fixture, &dispatch).await;
+    fixture.table.set_down(true);
+    fixture.backend.release_call();
+    read_to_end(frames, dispatch.attempt, 0).await;
+    let address = fixture.address();
+    let Fixture {
         sidecar,
         table,
         entry,
         ..
-    } = bench;
+    } = fixture;
 
     let stopping = tokio::spawn(sidecar.stop());
-    until_leaving(&entry, address).await;
-    table.refused(TABLE_TRIES).await;
+    wait_until_leaving(&entry, address).await;
+    table.wait_for_refusals(TABLE_TRIES).await;
     let has_waited = !stopping.is_finished();
     table.set_down(false);
     let is_clean = stopping.await.unwrap();
@@ -184,14 +188,15 @@
     );
 }
 
-/// A backend server hangs for good while the sidecar is being stopped.
-/// The stop does not hang with it: at its bound it says that work was left.
+/// A backend server hangs while the sidecar is being stopped. The stop must end at its timeout and
+/// report unfinished work.
 #[tokio::test]
-async fn stop_ends_at_its_bound() {
-    let bench = bench_with(|config| config.limits.drain_timeout = Duration::from_millis(50)).await;
-    let dispatch = bench.attempt(1, "/held");
-    let _frames = start_held(&bench, &dispatch).await;
-    let Bench { sidecar, .. } = bench;
+async fn stop_ends_at_its_timeout() {
+    let fixture =
+        fixture_with(|config| config.limits.drain_timeout = Duration::from_millis(50)).await;
+    let dispatch = fixture.attempt(1, "/held");
+    let _frames = start_blocked_call(&fixture, &dispatch).await;
+    let Fixture { sidecar, .. } = fixture;
 
     let is_clean = sidecar.stop().await;
 
--- a/crates/amaranthscale/tests/support/breaking_backend.rs
+++ b/crates/amaranthscale/tests/support/breaking_backend.rs
@@ -1,4 +1,4 @@
-//! A backend server that breaks off in the middle of its answer.
+//! A fake backend server that closes the connection in the middle of its answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Promises a hundred bytes, of which only these come.
+/// Announces 100 bytes and contains fewer.
 const BROKEN_ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nfirst half";
 
-/// A backend server that breaks off in the middle of its answer.
+/// A fake backend server that closes the connection in the middle of its answer.
 #[derive(Debug)]
 pub struct BreakingBackend {
     address: SocketAddr,
--- a/crates/amaranthscale/tests/support/fake_backend.rs
+++ b/crates/amaranthscale/tests/support/fake_backend.rs
@@ -1,4 +1,4 @@
-//! A backend server whose answers the test lets go.
+//! A fake backend server whose answers are released by the test.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -14,19 +14,18 @@
 use hyper::{Request, Response, StatusCode};
 use tokio::sync::{Semaphore, watch};
 
-use super::soon;
+use super::with_timeout;
 
-/// What `/stream` sends at once.
+/// First part of `/stream`, sent at once.
 pub const FIRST_LINE: &[u8] = b"one\n";
-/// What `/stream` sends when let go: one more token, and the end line of an engine.
+/// Second part of `/stream`, sent when released: one more token and an engine's end line.
 pub const LAST_LINES: &[u8] = b"two\n{\"end\":{}}\n";
 
-/// A backend server whose answers the test lets go.
+/// A fake backend server whose answers are released by the test.
 ///
-/// `/echo` answers with its input, `/held` does so once let go, `/stream` sends one line at once
-/// and the rest when let go, `/big` answers with 100 000 bytes and `/huge` with
-/// 8 000 000, `/fail` with an error and `/busy`
-/// with a refusal that says "not run".
+/// `/echo` answers with its input, `/held` does so when released, `/stream` sends one line at once
+/// and the rest when released, `/big` answers with 100 000 bytes and `/huge` with 8 000 000,
+/// `/fail` with an error and `/busy` with a refusal that states "not run".
 #[derive(Debug)]
 pub struct FakeBackend {
     server: HttpServer,
@@ -37,7 +36,7 @@
 struct Shared {
     calls: watch::Sender<Vec<String>>,
     cancelled: watch::Sender<Vec<String>>,
-    let_go: Semaphore,
+    releases: Semaphore,
     headers: Mutex<Vec<hyper::HeaderMap>>,
 }
 
@@ -46,7 +45,7 @@
         let shared = Arc::new(Shared {
             calls: watch::Sender::new(Vec::new()),
             cancelled: watch::Sender::new(Vec::new()),
-            let_go: Semaphore::new(0),
+            releases: Semaphore::new(0),
             headers: Mutex::new(Vec::new()),
         });
         let answering = Arc::clone(&shared);
@@ -63,34 +62,34 @@
         self.server.address()
     }
 
-    /// Ids of all calls that came, in order.
+    /// Ids of all received calls, in order.
     pub fn calls(&self) -> Vec<String> {
         self.shared.calls.borrow().clone()
     }
 
-    /// Headers of all calls that came, in order.
+    /// Headers of all received calls, in order.
     pub fn headers(&self) -> Vec<hyper::HeaderMap> {
         self.shared.headers.lock().unwrap().clone()
     }
 
-    /// Waits until so many calls have come.
-    pub async fn called(&self, times: usize) {
+    /// Waits until this number of calls was received.
+    pub async fn wait_for_calls(&self, times: usize) {
         let mut calls = self.shared.calls.subscribe();
         let enough = calls.wait_for(|calls| calls.len() >= times);
-        soon(enough).await.unwrap();
+        with_timeout(enough).await.unwrap();
     }
 
-    /// Waits until a call is cancelled, and returns its id.
-    pub async fn cancelled(&self) -> String {
+    /// Waits until a call is cancelled and returns its id.
+    pub async fn wait_for_cancellation(&self) -> String {
         let mut cancelled = self.shared.cancelled.subscribe();
         let any = cancelled.wait_for(|ids| !ids.is_empty());
-        let first = soon(any).await.unwrap();
+        let first = with_timeout(any).await.unwrap();
         first[0].clone()
     }
 
-    /// Lets one held call go on.
-    pub fn let_go(&self) {
-        self.shared.let_go.add_permits(1);
+    /// Releases one blocked call.
+    pub fn release_call(&self) {
+        self.shared.releases.add_permits(1);
     }
 }
 
@@ -112,7 +111,7 @@
     async fn work(self: Arc<Self>, path: &str, input: Bytes) -> Response<ResponseBody> {
         match path {
             "/held" => {
-                self.let_go.acquire().await.unwrap().forget();
+                self.releases.acquire().await.unwrap().forget();
                 Response::new(full_body(input))
             }
             "/stream" => self.stream(),
@@ -128,7 +127,7 @@
         let (mut sender, body) = Channel::<Bytes>::new(4);
         tokio::spawn(async move {
             let _ = sender.send_data(Bytes::from_static(FIRST_LINE)).await;
-            self.let_go.acquire().await.unwrap().forget();
+            self.releases.acquire().await.unwrap().forget();
             let _ = sender.send_data(Bytes::from_static(LAST_LINES)).await;
         });
         let mut response = Response::new(body.boxed_unsync());
--- a/crates/amaranthscale/tests/support/fake_table.rs
+++ b/crates/amaranthscale/tests/support/fake_table.rs
@@ -1,4 +1,4 @@
-//! The platform's table and object store, with outages on demand.
+//! A fake of the platform's table and object store with injectable faults.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,9 +15,9 @@
 use hyper::{Method, Request, Response, StatusCode};
 use tokio::sync::watch;
 
-use super::soon;
+use super::with_timeout;
 
-/// The platform's table and object store, with outages on demand.
+/// A fake of the platform's table and object store with injectable faults.
 #[derive(Debug)]
 pub struct FakeTable {
     server: HttpServer,
@@ -28,7 +28,7 @@
 struct Shared {
     content: watch::Sender<Content>,
     faults: Mutex<Faults>,
-    held: watch::Sender<Vec<Transaction>>,
+    delayed: watch::Sender<Vec<Transaction>>,
     refused: watch::Sender<usize>,
 }
 
@@ -42,7 +42,7 @@
 struct Faults {
     is_down: bool,
     lose_answers: usize,
-    hold: usize,
+    delay: usize,
 }
 
 impl FakeTable {
@@ -62,54 +62,54 @@
         self.server.address()
     }
 
-    /// Refuses every call, or serves again.
+    /// Starts or ends refusing every call.
     pub fn set_down(&self, is_down: bool) {
         self.shared.faults.lock().unwrap().is_down = is_down;
     }
 
-    /// Lets the next transactions take effect without an answer.
+    /// Applies the next transactions without answering them.
     pub fn lose_answers(&self, transactions: usize) {
         self.shared.faults.lock().unwrap().lose_answers = transactions;
     }
 
-    /// Keeps the next transactions on their way, without effect or answer.
-    pub fn hold(&self, transactions: usize) {
-        self.shared.faults.lock().unwrap().hold = transactions;
+    /// Delays the next transactions, which are neither applied nor answered.
+    pub fn delay_transactions(&self, transactions: usize) {
+        self.shared.faults.lock().unwrap().delay = transactions;
     }
 
-    /// Waits until so many calls were refused in all.
-    pub async fn refused(&self, calls: usize) {
+    /// Waits until this number of calls was refused in total.
+    pub async fn wait_for_refusals(&self, calls: usize) {
         let mut refused = self.shared.refused.subscribe();
         let enough = refused.wait_for(|refused| *refused >= calls);
-        soon(enough).await.unwrap();
+        with_timeout(enough).await.unwrap();
     }
 
-    /// Waits until so many transactions are kept on their way.
-    pub async fn held(&self, transactions: usize) {
-        let mut held = self.shared.held.subscribe();
-        let enough = held.wait_for(|held| held.len() >= transactions);
-        soon(enough).await.unwrap();
+    /// Waits until this number of transactions is delayed.
+    pub async fn wait_for_delayed(&self, transactions: usize) {
+        let mut delayed = self.shared.delayed.subscribe();
+        let enough = delayed.wait_for(|delayed| delayed.len() >= transactions);
+        with_timeout(enough).await.unwrap();
     }
 
-    /// Whether a transaction that is kept on its way names this text.
-    pub fn is_held_with(&self, text: &str) -> bool {
-        let held = self.shared.held.borrow();
-        let mut writes = held.iter().flat_map(|transaction| &transaction.writes);
+    /// Whether a delayed transaction writes a value that contains this text.
+    pub fn is_delayed_with(&self, text: &str) -> bool {
+        let delayed = self.shared.delayed.borrow();
+        let mut writes = delayed.iter().flat_map(|transaction| &transaction.writes);
         writes.any(|write| write.value.contains(text))
     }
 
-    /// Lets what was kept on its way take effect now.
-    pub fn let_held_take_effect(&self) {
-        let mut held = Vec::new();
+    /// Applies the delayed transactions now.
+    pub fn apply_delayed(&self) {
+        let mut delayed = Vec::new();
         self.shared
-            .held
-            .send_modify(|all| held = std::mem::take(all));
-        for transaction in held {
+            .delayed
+            .send_modify(|all| delayed = std::mem::take(all));
+        for transaction in delayed {
             self.shared.transact(&transaction);
         }
     }
 
-    /// The row as it is; version 0 if absent.
+    /// The current row; version 0 if absent.
     pub fn row(&self, key: &str) -> Row {
         self.shared.content.borrow().row(key)
     }
@@ -123,18 +123,18 @@
             .collect()
     }
 
-    /// Waits until a row is as wanted.
-    pub async fn row_when(&self, key: &str, is_wanted: impl Fn(&Row) -> bool) -> Row {
+    /// Waits until a row meets a condition.
+    pub async fn wait_for_row(&self, key: &str, is_wanted: impl Fn(&Row) -> bool) -> Row {
         let mut content = self.shared.content.subscribe();
         let wanted = content.wait_for(|content| is_wanted(&content.row(key)));
-        soon(wanted).await.unwrap().row(key)
+        with_timeout(wanted).await.unwrap().row(key)
     }
 
-    /// Waits until rows with a prefix are there.
-    pub async fn rows_when_any(&self, prefix: &str) -> Vec<Row> {
+    /// Waits until there are rows with a prefix.
+    pub async fn wait_for_rows(&self, prefix: &str) -> Vec<Row> {
         let mut content = self.shared.content.subscribe();
         let has_any = |content: &Content| content.rows.keys().any(|key| key.starts_with(prefix));
-        drop(soon(content.wait_for(has_any)).await.unwrap());
+        drop(with_timeout(content.wait_for(has_any)).await.unwrap());
         self.rows(prefix)
     }
 
@@ -208,8 +208,9 @@
     }
 
     async fn answer_transaction(&self, transaction: &Transaction) -> Response<ResponseBody> {
-        if self.take_fault(|faults| &mut faults.hold) {
-            self.held.send_modify(|held| held.push(transaction.clone()));
+        if self.take_fault(|faults| &mut faults.delay) {
+            self.delayed
+                .send_modify(|delayed| delayed.push(transaction.clone()));
             return std::future::pending().await;
         }
         let reply = self.transact(transaction);
@@ -251,7 +252,7 @@
     response
 }
 
-/// Undoes the percent encoding of the platform client.
+/// Decodes the platform client's percent encoding.
 fn decode(text: &str) -> String {
     let mut decoded = Vec::new();
     let mut bytes = text.bytes();
--- a/crates/amaranthscale/tests/support/fixture.rs
+++ b/crates/amaranthscale/tests/support/fixture.rs
@@ -1,4 +1,4 @@
-//! A sidecar between a fake backend server and a fake table, and an entry's calls to it.
+//! A sidecar with a fake backend server and a fake table, and an entry's calls to it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,14 +19,14 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::{FakeBackend, FakeTable, soon};
+use super::{FakeBackend, FakeTable, with_timeout};
 
-/// Long enough that no test comes near it.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of calls; far longer than any test takes.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A sidecar between fakes, and an entry's connection to it.
+/// A sidecar with its fakes, and an entry's client.
 #[derive(Debug)]
-pub struct Bench {
+pub struct Fixture {
     pub table: FakeTable,
     pub backend: FakeBackend,
     pub sidecar: Sidecar,
@@ -36,29 +36,29 @@
 
 /// An answer that was read to its end.
 #[derive(Debug)]
-pub struct Whole {
+pub struct CompleteAnswer {
     pub result: Vec<u8>,
     pub end: End,
 }
 
-impl Whole {
+impl CompleteAnswer {
     pub fn code(&self) -> ResultCode {
         self.end.outcome.code
     }
 }
 
-pub async fn bench() -> Bench {
-    bench_with(|_config| {}).await
+pub async fn fixture() -> Fixture {
+    fixture_with(|_config| {}).await
 }
 
-/// A bench whose sidecar is set up a little differently.
-pub async fn bench_with(change: impl FnOnce(&mut SidecarConfig)) -> Bench {
+/// A fixture whose sidecar has a modified configuration.
+pub async fn fixture_with(modify: impl FnOnce(&mut SidecarConfig)) -> Fixture {
     let table = FakeTable::start().await;
     let backend = FakeBackend::start().await;
-    let sidecar = start_sidecar(&table, backend.address(), change).await;
+    let sidecar = start_sidecar(&table, backend.address(), modify).await;
     let entry = new_entry();
     let stamp = hello(&entry, sidecar.address()).await;
-    Bench {
+    Fixture {
         table,
         backend,
         sidecar,
@@ -70,7 +70,7 @@
 pub async fn start_sidecar(
     table: &FakeTable,
     backend: SocketAddr,
-    change: impl FnOnce(&mut SidecarConfig),
+    modify: impl FnOnce(&mut SidecarConfig),
 ) -> Sidecar {
     let mut config = SidecarConfig {
         host: "weighbridge-1".parse().unwrap(),
@@ -82,7 +82,7 @@
         orders: None,
         limits: limits(),
     };
-    change(&mut config);
+    modify(&mut config);
     Sidecar::start(config, TreeSource::default()).await.unwrap()
 }
 
@@ -101,7 +101,7 @@
     }
 }
 
-/// A claim on the first version of a row.
+/// Ticket for the first claim of a row.
 pub fn ticket() -> ClaimTicket {
     ClaimTicket {
         key: ClaimKey {
@@ -119,26 +119,26 @@
         from: "entry-1".parse().unwrap(),
         tree_version: TreeVersion::default(),
     };
-    ask(entry, address, "/hello", &hello).await
+    post_message(entry, address, "/hello", &hello).await
 }
 
-async fn ask<T: DeserializeOwned>(
+async fn post_message<T: DeserializeOwned>(
     entry: &PeerClient,
     address: SocketAddr,
     path: &str,
     message: &impl Serialize,
 ) -> T {
     let response = entry.post(address, path, wire::encode(message)).await;
-    let body = read_body(response.unwrap().into_body(), 1 << 20, PATIENCE).await;
+    let body = read_body(response.unwrap().into_body(), 1 << 20, TIMEOUT).await;
     wire::decode(body.unwrap()).unwrap()
 }
 
-impl Bench {
+impl Fixture {
     pub fn address(&self) -> SocketAddr {
         self.sidecar.address()
     }
 
-    /// An attempt at a path of the backend server; each number is a request of its own.
+    /// An attempt at a path of the backend server; each number is a different request.
     pub fn attempt(&self, number: u128, path: &str) -> Dispatch {
         Dispatch {
             attempt: AttemptId {
@@ -147,8 +147,8 @@
                 number: AttemptNumber::new(0),
             },
             incarnation: self.stamp.incarnation,
-            expiry: self.stamp.clock.plus(PATIENCE),
-            budget: TimeBudget::new(PATIENCE),
+            expiry: self.stamp.clock.plus(TIMEOUT),
+            budget: TimeBudget::new(TIMEOUT),
             organisation: "delta-basin".parse().unwrap(),
             class: Class::Paid,
             weight: Weight::DEFAULT,
@@ -169,14 +169,14 @@
         }
     }
 
-    /// Sends an attempt; its frames may then be read.
+    /// Sends an attempt and returns the reader of its answer.
     pub async fn open(&self, dispatch: &Dispatch) -> FrameReader {
         open(&self.entry, self.address(), dispatch).await
     }
 
-    /// Sends an attempt and reads its whole answer.
-    pub async fn run(&self, dispatch: &Dispatch) -> Whole {
-        whole(self.open(dispatch).await, dispatch.attempt, 0).await
+    /// Sends an attempt and reads its answer to the end.
+    pub async fn run(&self, dispatch: &Dispatch) -> CompleteAnswer {
+        read_to_end(self.open(dispatch).await, dispatch.attempt, 0).await
     }
 
     pub async fn revoke(&self, dispatch: &Dispatch, cancel_running: bool) -> RevokeAnswer {
@@ -186,11 +186,12 @@
             expiry: dispatch.expiry,
             cancel_running,
         };
-        let reply: RevokeReply = ask(&self.entry, self.address(), "/revoke", &revoke).await;
+        let reply: RevokeReply =
+            post_message(&self.entry, self.address(), "/revoke", &revoke).await;
         reply.answer
     }
 
-    /// Fetches an answer from a chunk on, over a new connection.
+    /// Fetches an answer from a chunk on, on a new connection.
     pub async fn fetch(&self, dispatch: &Dispatch, from_chunk: u64) -> FrameReader {
         fetch(&new_entry(), self.address(), dispatch, from_chunk).await
     }
@@ -199,15 +200,15 @@
         hello(&self.entry, self.address()).await
     }
 
-    /// Waits until the sidecar's clock is past a reading.
-    pub async fn clock_past(&self, reading: SidecarClock) {
+    /// Waits until the sidecar's clock has passed a reading.
+    pub async fn wait_for_clock(&self, reading: SidecarClock) {
         while self.hello().await.clock <= reading {
             tokio::task::yield_now().await;
         }
     }
 
-    /// Waits until the sidecar shows a state.
-    pub async fn stamp_when(&self, is_wanted: impl Fn(&Stamp) -> bool) -> Stamp {
+    /// Waits until the sidecar's stamp meets a condition.
+    pub async fn wait_for_stamp(&self, is_wanted: impl Fn(&Stamp) -> bool) -> Stamp {
         loop {
             let stamp = self.hello().await;
             if is_wanted(&stamp) {
@@ -227,7 +228,7 @@
     }
 }
 
-/// An entry without connections.
+/// Client of an entry without open connections.
 pub fn new_entry() -> PeerClient {
     PeerClient::new(PeerClientLimits::default())
 }
@@ -244,12 +245,12 @@
         address,
         dispatch,
         from_chunk,
-        TimeBudget::new(PATIENCE),
+        TimeBudget::new(TIMEOUT),
     )
     .await
 }
 
-/// Fetches an answer for as long as a budget lasts.
+/// Fetches an answer with a time budget.
 pub async fn fetch_within(
     entry: &PeerClient,
     address: SocketAddr,
@@ -274,12 +275,16 @@
     FrameReader::new(response.unwrap().into_body())
 }
 
-/// Reads an answer to its end and checks what an entry would check.
-pub async fn whole(mut frames: FrameReader, attempt: AttemptId, from_chunk: u64) -> Whole {
+/// Reads an answer to its end with the checks that an entry makes.
+pub async fn read_to_end(
+    mut frames: FrameReader,
+    attempt: AttemptId,
+    from_chunk: u64,
+) -> CompleteAnswer {
     let mut result = Vec::new();
     let mut next = from_chunk;
     loop {
-        match soon(frames.next()).await.unwrap() {
+        match with_timeout(frames.next()).await.unwrap() {
             Frame::Chunk(chunk) => {
                 assert_eq!(chunk.attempt, attempt);
                 assert_eq!(chunk.sequence, next);
@@ -293,7 +298,7 @@
                     assert_eq!(end.outcome.digest, ResultDigest::of(&result));
                     assert_eq!(end.outcome.length_bytes, result.len() as u64);
                 }
-                return Whole { result, end };
+                return CompleteAnswer { result, end };
             }
         }
     }
--- a/crates/amaranthscale/tests/support/sidecar_support.rs
+++ b/crates/amaranthscale/tests/support/sidecar_support.rs
@@ -16,15 +16,17 @@
 pub use fake_backend::{FIRST_LINE, FakeBackend, LAST_LINES};
 pub use fake_table::FakeTable;
 pub use fixture::{
-    Bench, bench, bench_with, fetch, fetch_within, hello, new_entry, open, start_sidecar, ticket,
-    whole,
+    Fixture, fetch, fetch_within, fixture, fixture_with, hello, new_entry, open, read_to_end,
+    start_sidecar, ticket,
 };
 
-/// Longest wait of a test for what must come; a test that waits this long has failed.
-const GIVE_UP: Duration = Duration::from_secs(20);
+/// Timeout of every wait in a test, after which the test fails.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits for what must come.
-pub async fn soon<T>(awaited: impl Future<Output = T>) -> T {
-    let awaited = tokio::time::timeout(GIVE_UP, awaited);
-    awaited.await.expect("what the test waits for did not come")
+/// Awaits a future; panics after a timeout.
+pub async fn with_timeout<T>(awaited: impl Future<Output = T>) -> T {
+    let awaited = tokio::time::timeout(WAIT_TIMEOUT, awaited);
+    awaited
+        .await
+        .expect("the awaited event did not occur in time")
 }
