--- a/crates/amaranthscale/src/gateway/request.rs
+++ b/crates/amaranthscale/src/gateway/request.rs
@@ -6,15 +6,15 @@
 mod event_splitter;
 mod outgoing;
 mod plain_run;
-mod refused;
+mod refusal;
 mod send;
 mod stream_relay;
 
 #[doc(inline)]
-pub use answer::{AnswerBody, BrokenOff};
+pub use answer::{AnswerBody, TruncatedAnswer};
 #[doc(inline)]
 pub use caller::answer_caller;
 #[doc(inline)]
 pub use event_splitter::{EventSplitter, StreamEvent};
 #[doc(inline)]
-pub use refused::Refused;
+pub use refusal::Refusal;
--- a/crates/amaranthscale/src/gateway/request/answer.rs
+++ b/crates/amaranthscale/src/gateway/request/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers, and the bodies that carry them.
+//! Answers to callers and their bodies.
 
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -8,20 +8,21 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// An answer that ended early; the connection ends with it, so that it cannot look whole.
+    /// Error of an answer that ended early; it ends the connection, so that the answer cannot
+    /// appear complete.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum BrokenOff {
-        /// The server broke off, or the time was over.
+    pub enum TruncatedAnswer {
+        /// The server ended its answer early, or the deadline passed.
         Early(reason: &'static str) {
-            display("the answer was broken off: {reason}")
+            display("the answer was truncated: {reason}")
         }
     }
 }
 
 /// Body of an answer to a caller.
-pub type AnswerBody = UnsyncBoxBody<Bytes, BrokenOff>;
+pub type AnswerBody = UnsyncBoxBody<Bytes, TruncatedAnswer>;
 
-/// Headers that concern one connection only.
+/// Headers that apply to one connection only.
 const CONNECTION_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -33,15 +34,15 @@
     "content-length",
 ];
 
-/// A body that is known whole.
-pub(super) fn whole(content: impl Into<Bytes>) -> AnswerBody {
+/// A body whose content is complete.
+pub(super) fn full_body(content: impl Into<Bytes>) -> AnswerBody {
     Full::new(content.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// The response that passes a server's answer on.
-pub(super) fn passed_on(
+/// The response that forwards a server's answer.
+pub(super) fn forwarded_response(
     status: StatusCode,
     headers: &HeaderMap,
     body: AnswerBody,
@@ -52,13 +53,13 @@
     response
 }
 
-/// Copies what does not concern one connection only.
+/// Copies the headers that do not apply to one connection only.
 pub(super) fn copy_headers(
     from: &HeaderMap,
     to: &mut HeaderMap,
-    is_wanted: impl Fn(&HeaderName) -> bool,
+    is_forwarded: impl Fn(&HeaderName) -> bool,
 ) {
-    let listed: Vec<String> = from
+    let connection_options: Vec<String> = from
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -66,8 +67,13 @@
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
     for (name, value) in from {
-        let is_hop = CONNECTION_HEADERS.contains(&name.as_str());
-        if !is_hop && !listed.iter().any(|listed| listed == name.as_str()) && is_wanted(name) {
+        let is_hop_by_hop = CONNECTION_HEADERS.contains(&name.as_str());
+        if !is_hop_by_hop
+            && !connection_options
+                .iter()
+                .any(|connection_options| connection_options == name.as_str())
+            && is_forwarded(name)
+        {
             to.append(name, value.clone());
         }
     }
--- a/crates/amaranthscale/src/gateway/request/caller.rs
+++ b/crates/amaranthscale/src/gateway/request/caller.rs
@@ -1,4 +1,4 @@
-//! Takes a caller's request and gives its one answer.
+//! Handles a caller's request and returns its one answer.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -19,38 +19,38 @@
 use super::super::{RequestAttributes, RequestContent};
 use super::answer::AnswerBody;
 use super::engine_run::run_engine;
-use super::outgoing::Outgoing;
+use super::outgoing::OutgoingRequest;
 use super::plain_run::run_plain;
-use super::refused::Refused;
+use super::refusal::Refusal;
 use crate::connection::{ReadBodyError, read_body};
 
-/// Time after which a caller may come back whose request runs elsewhere and may run once at a time.
-const SINGLE_RUN_RETRY: Duration = Duration::from_secs(2);
+/// Retry delay for a request that is limited to a single run and already runs elsewhere.
+const SINGLE_RUN_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// A request that may run.
+/// A request that passed routing and authentication.
 #[derive(Debug)]
-pub(super) struct Admitted {
+pub(super) struct AdmittedRequest {
     pub(super) route: Arc<Route>,
-    pub(super) work: RequestAttributes,
+    pub(super) attributes: RequestAttributes,
     pub(super) request_content: RequestContent,
-    /// The claim on its run, where it may be sent to one server at a time only.
+    /// The claim of its single run, if it is limited to one server at a time.
     pub(super) single_run: OnceLock<SingleRun>,
     pub(super) rank: Rank,
-    pub(super) arrived: Instant,
-    /// When the caller's or the route's time is over.
-    pub(super) until: Instant,
+    pub(super) arrived_at: Instant,
+    /// The caller's or the route's deadline, whichever is earlier.
+    pub(super) deadline: Instant,
 }
 
-impl Admitted {
-    /// Time that is left.
-    pub(super) fn left(&self) -> Duration {
-        self.until.saturating_duration_since(Instant::now())
+impl AdmittedRequest {
+    /// Remaining time until the deadline.
+    pub(super) fn remaining(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Refuses a request under which servers crash, and claims the run of one under which some did.
-    pub(super) async fn check_held(&self, context: &GatewayContext) -> Result<(), Refused> {
-        let held = context.crashes.check(&self.request_content);
-        held.map_err(|crashed| Refused::new(self.held_back(crashed)))?;
+    /// Refuses a quarantined request, and claims the single run of a suspected one.
+    pub(super) async fn check_quarantine(&self, context: &GatewayContext) -> Result<(), Refusal> {
+        let checked = context.crashes.check(&self.request_content);
+        checked.map_err(|crashed| Refusal::new(self.record_quarantined(crashed)))?;
         if self.single_run.get().is_some() {
             return Ok(());
         }
@@ -59,28 +59,28 @@
             .claim_single_run(&self.request_content)
             .await
         else {
-            let code = self.held_back(0);
-            return Err(Refused::new(code).come_back_in(SINGLE_RUN_RETRY));
+            let code = self.record_quarantined(0);
+            return Err(Refusal::new(code).with_retry_after(SINGLE_RUN_RETRY_DELAY));
         };
         if let Some(claimed) = claimed {
-            // Nobody else claims for this request, so the place is free.
+            // Only this task claims for this request, so the value is not set yet.
             let _ = self.single_run.set(claimed);
         }
         Ok(())
     }
 
-    /// Notes that a server ran the request to its end.
-    pub(super) fn completed(&self, context: &GatewayContext) {
+    /// Records that a server completed the request.
+    pub(super) fn record_completion(&self, context: &GatewayContext) {
         context.crashes.record_completed_run(&self.request_content);
         if let Some(run) = self.single_run.get() {
             run.mark_completed();
         }
     }
 
-    /// Notes that the request is held back.
-    pub(super) fn held_back(&self, crashed: usize) -> ResultCode {
+    /// Logs that the request is quarantined; returns the result code.
+    pub(super) fn record_quarantined(&self, crashed: usize) -> ResultCode {
         info!(
-            call = self.work.call.as_str(), fingerprint:% = self.request_content.fingerprint(), crashed;
+            call = self.attributes.call.as_str(), fingerprint:% = self.request_content.fingerprint(), crashed;
             "request: held back"
         );
         ResultCode::RequestQuarantined
@@ -92,17 +92,17 @@
     context: Arc<GatewayContext>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    let arrived = Instant::now();
-    let open = context.shutdown.enter();
+    let arrived_at = Instant::now();
+    let open_request = context.shutdown.enter();
     let (head, body) = request.into_parts();
-    let unanswered = Unanswered::new(&context, &head, arrived);
-    let answered = take(&context, &head, body, arrived, open).await;
-    unanswered.answered();
+    let unanswered = UnansweredRequest::new(&context, &head, arrived_at);
+    let answered = handle(&context, &head, body, arrived_at, open_request).await;
+    unanswered.mark_answered();
     let mut response = match answered {
         Ok(response) => response,
-        Err(refused) => {
-            log_refusal(&context, &head, refused, arrived);
-            refused.response(&context)
+        Err(refusal) => {
+            log_refusal(&context, &head, refusal, arrived_at);
+            refusal.response(&context)
         }
     };
     if context.shutdown.is_stopping() {
@@ -112,51 +112,51 @@
     context
         .counters
         .count_reason("answer", response.status().as_u16());
-    // Of a stream this is the time to its head, which comes with its first event.
-    context.latencies.record("answer", arrived.elapsed());
+    // For a stream this is the time to its head, which is sent with the first event.
+    context.latencies.record("answer", arrived_at.elapsed());
     response
 }
 
-/// A request that was read and has no answer yet.
+/// A request that was read and has no answer yet; logs a line if it is dropped unanswered.
 ///
-/// Guards against a request without a trace: a caller that leaves while its pieces are made ends the
-/// task that serves it, and no other line would name the request.
-struct Unanswered {
+/// A caller that disconnects during the job ends the task that serves the request, and no other log
+/// line would contain the request.
+struct UnansweredRequest {
     context: Arc<GatewayContext>,
     call: String,
-    arrived: Instant,
+    arrived_at: Instant,
     is_open: bool,
 }
 
-impl Unanswered {
-    fn new(context: &Arc<GatewayContext>, head: &request::Parts, arrived: Instant) -> Self {
+impl UnansweredRequest {
+    fn new(context: &Arc<GatewayContext>, head: &request::Parts, arrived_at: Instant) -> Self {
         Self {
             context: Arc::clone(context),
-            call: call_name(context, head).to_owned(),
-            arrived,
+            call: call_id(context, head).to_owned(),
+            arrived_at,
             is_open: true,
         }
     }
 
-    fn answered(mut self) {
+    fn mark_answered(mut self) {
         self.is_open = false;
     }
 }
 
-impl Drop for Unanswered {
+impl Drop for UnansweredRequest {
     fn drop(&mut self) {
         if self.is_open {
             self.context.counters.count("caller.left");
             info!(
-                call = self.call.as_str(), ms = ms(self.arrived.elapsed());
+                call = self.call.as_str(), ms = ms(self.arrived_at.elapsed());
                 "request: caller left"
             );
         }
     }
 }
 
-/// The caller's name of its send, as lines show it.
-fn call_name<'a>(context: &GatewayContext, head: &'a request::Parts) -> &'a str {
+/// The caller's id of the call, for log lines.
+fn call_id<'a>(context: &GatewayContext, head: &'a request::Parts) -> &'a str {
     let call = head.headers.get(&context.dialect.headers.call);
     call.and_then(|call| call.to_str().ok()).unwrap_or("-")
 }
@@ -164,64 +164,68 @@
 fn log_refusal(
     context: &GatewayContext,
     head: &request::Parts,
-    refused: Refused,
-    arrived: Instant,
+    refusal: Refusal,
+    arrived_at: Instant,
 ) {
-    let call = call_name(context, head);
+    let call = call_id(context, head);
     let version = context
         .cluster_view
         .routing()
         .map_or(0, |routing| routing.version().get());
     info!(
-        call, code = refused.code.number(), reason = refused.code.name(), version,
-        ran:% = refused.code.ran(), ms = ms(arrived.elapsed());
+        call, code = refusal.code.number(), reason = refusal.code.name(), version,
+        ran:% = refusal.code.ran(), ms = ms(arrived_at.elapsed());
         "request: refused"
     );
 }
 
-async fn take(
+async fn handle(
     context: &Arc<GatewayContext>,
     head: &request::Parts,
     body: Incoming,
-    arrived: Instant,
-    open: OpenRequest,
-) -> Result<Response<AnswerBody>, Refused> {
+    arrived_at: Instant,
+    open_request: OpenRequest,
+) -> Result<Response<AnswerBody>, Refusal> {
     let routing = context.cluster_view.routing();
-    let routing = routing.ok_or(Refused::new(ResultCode::NotReady))?;
+    let routing = routing.ok_or(Refusal::new(ResultCode::NotReady))?;
     if context.cluster_view.is_behind(context.max_routing_lag) {
-        return Err(Refused::new(ResultCode::RoutingBehind));
+        return Err(Refusal::new(ResultCode::RoutingBehind));
     }
     let route = find_route(&routing, head)?;
     let holder = check_key(context, &routing, &route, head)?;
-    let work = (context.dialect.parse_request_attributes)(&head.headers).map_err(|error| {
-        info!(reason:% = error; "request: head refused");
-        Refused::new(ResultCode::MalformedRequest)
-    })?;
-    let timeout = work.timeout.unwrap_or(route.timeout).min(route.timeout);
-    let until = arrived + timeout;
-    let body = read_whole(&routing, body, until).await?;
-    let service = route.service_for(&work.call).cloned();
-    let service = service.ok_or(Refused::new(ResultCode::NoBackendServer))?;
+    let attributes =
+        (context.dialect.parse_request_attributes)(&head.headers).map_err(|error| {
+            info!(reason:% = error; "request: invalid headers");
+            Refusal::new(ResultCode::MalformedRequest)
+        })?;
+    let timeout = attributes
+        .timeout
+        .unwrap_or(route.timeout)
+        .min(route.timeout);
+    let deadline = arrived_at + timeout;
+    let body = read_caller_body(&routing, body, deadline).await?;
+    let service = route.service_for(&attributes.call).cloned();
+    let service = service.ok_or(Refusal::new(ResultCode::NoBackendServer))?;
     let host = host_of(head).to_owned();
     let request_content = RequestContent::new(holder.clone(), host, head.uri.clone(), body.clone());
-    let outgoing = Outgoing::new(head, body, &context.dialect, holder.as_deref());
+    let outgoing = OutgoingRequest::new(head, body, &context.dialect, holder.as_deref());
     let rank = Rank {
         organisation: holder.and_then(|holder| holder.priority).unwrap_or(0),
         route: route.priority,
     };
-    let admitted = Admitted {
+    let admitted = AdmittedRequest {
         route,
-        work,
+        attributes,
         request_content,
         single_run: OnceLock::new(),
         rank,
-        arrived,
-        until,
+        arrived_at,
+        deadline,
     };
     let now = context.cluster_view.clock().now();
     context.retry_budgets.record_request(&service, now);
     if admitted.route.kind.is_streaming() {
-        run_engine(context, admitted, service, outgoing, open).await
+        run_engine(context, admitted, service, outgoing, open_request).await
     } else {
         run_plain(context, &admitted, &service, &outgoing).await
     }
@@ -232,22 +236,21 @@
     host.or_else(|| head.uri.host()).unwrap_or_default()
 }
 
-fn find_route(routing: &Routing, head: &request::Parts) -> Result<Arc<Route>, Refused> {
+fn find_route(routing: &Routing, head: &request::Parts) -> Result<Arc<Route>, Refusal> {
     let route = routing.route(host_of(head), head.uri.path());
-    route.cloned().ok_or(Refused::new(ResultCode::UnknownPath))
+    route.cloned().ok_or(Refusal::new(ResultCode::UnknownPath))
 }
 
-/// The holder of the request's key, if the route needs one.
+/// The holder of the request's key, if the route requires one.
 ///
-/// Guards against a revoked key at a machine that has not heard of its end: the longer nothing
-/// came from the store, the more may have changed. Beyond the bound nothing is believed, neither a
-/// known key nor an unknown one.
+/// Beyond the maximum age of the routing, neither known nor unknown keys are decided on: a key may
+/// have been revoked or created since the last update from the store.
 fn check_key(
     context: &GatewayContext,
     routing: &Routing,
     route: &Route,
     head: &request::Parts,
-) -> Result<Option<Arc<KeyHolder>>, Refused> {
+) -> Result<Option<Arc<KeyHolder>>, Refusal> {
     if route.is_public || !routing.requires_keys() {
         return Ok(None);
     }
@@ -256,7 +259,7 @@
         .age()
         .is_none_or(|age| age > context.max_key_age)
     {
-        return Err(Refused::new(ResultCode::KnowledgeStale));
+        return Err(Refusal::new(ResultCode::KnowledgeStale));
     }
     let key = head.headers.get(&context.dialect.headers.key);
     let key = key.and_then(|key| key.to_str().ok());
@@ -264,22 +267,26 @@
     holder
         .cloned()
         .map(Some)
-        .ok_or(Refused::new(ResultCode::WrongKey))
+        .ok_or(Refusal::new(ResultCode::WrongKey))
 }
 
-async fn read_whole(routing: &Routing, body: Incoming, until: Instant) -> Result<Bytes, Refused> {
+async fn read_caller_body(
+    routing: &Routing,
+    body: Incoming,
+    deadline: Instant,
+) -> Result<Bytes, Refusal> {
     let max_bytes = routing.bounds().max_body_bytes;
-    let told = body.size_hint().lower();
-    if told > u64::try_from(max_bytes).unwrap_or(u64::MAX) {
-        return Err(Refused::new(ResultCode::BodyTooLarge).closing());
+    let min_bytes = body.size_hint().lower();
+    if min_bytes > u64::try_from(max_bytes).unwrap_or(u64::MAX) {
+        return Err(Refusal::new(ResultCode::BodyTooLarge).closing());
     }
-    let timeout = until.saturating_duration_since(Instant::now());
+    let timeout = deadline.saturating_duration_since(Instant::now());
     read_body(body, max_bytes, timeout).await.map_err(|error| {
         let code = match error {
             ReadBodyError::TooLarge(_) => ResultCode::BodyTooLarge,
             ReadBodyError::TimedOut(..) => ResultCode::SlowCaller,
             ReadBodyError::Broken(_) => ResultCode::MalformedRequest,
         };
-        Refused::new(code).closing()
+        Refusal::new(code).closing()
     })
 }
--- a/crates/amaranthscale/src/gateway/request/engine_run.rs
+++ b/crates/amaranthscale/src/gateway/request/engine_run.rs
@@ -1,4 +1,4 @@
-//! Runs a request at an engine, after the pieces that it needs are made.
+//! Runs a request at an engine, once its stage results are computed.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,212 +16,222 @@
 
 use super::super::clock::ms;
 use super::super::process::{GatewayContext, JobError, JobResults, OpenRequest, run_job};
-use super::answer::{AnswerBody, passed_on, whole};
-use super::caller::Admitted;
-use super::outgoing::Outgoing;
-use super::refused::Refused;
-use super::send::{BegunAnswer, SendOutcome, Sent, send};
-use super::stream_relay::relay;
+use super::answer::{AnswerBody, forwarded_response, full_body};
+use super::caller::AdmittedRequest;
+use super::outgoing::OutgoingRequest;
+use super::refusal::Refusal;
+use super::send::{InFlightSend, SendOutcome, StartedAnswer, send};
+use super::stream_relay::relay_stream;
 use crate::connection::read_body;
 
-/// Largest failure of an engine that is passed on.
+/// Maximum size of an engine's error answer that is forwarded.
 const MAX_FAILURE_BYTES: usize = 1024 * 1024;
-/// Engines that may reject one request, or that it may not reach.
-const MOST_REJECTED: u32 = 4;
-/// Times that gone results are made anew for one request.
-const MOST_REMAKES: u32 = 1;
-/// Time kept back from the pieces' deadline, for the engine.
+/// Maximum number of engines that reject one request or cannot be reached.
+const MAX_REJECTIONS: u32 = 4;
+/// Maximum number of times that missing results are recomputed for one request.
+const MAX_RECOMPUTATIONS: u32 = 1;
+/// Time reserved for the engine between the job's deadline and the request's.
 const ENGINE_RESERVE: Duration = Duration::from_millis(150);
 
-/// One request on its way through stages and engine.
+/// One request's run through its stages and at engines.
 #[derive(Debug)]
 pub(super) struct EngineRun {
     pub(super) context: Arc<GatewayContext>,
-    pub(super) admitted: Admitted,
+    pub(super) admitted: AdmittedRequest,
     pub(super) service: ServiceId,
-    pub(super) outgoing: Outgoing,
-    tried: BTreeSet<ServerIncarnation>,
-    /// Engines at which the request may have run.
-    pub(super) ran: u32,
-    rejected: u32,
-    remakes: u32,
-    /// The gateway that had the pieces made.
+    pub(super) outgoing: OutgoingRequest,
+    tried_servers: BTreeSet<ServerIncarnation>,
+    /// Number of engines at which the request may have run.
+    pub(super) possible_runs: u32,
+    rejections: u32,
+    recomputations: u32,
+    /// The gateway that ran the job.
     pub(super) owner: Option<InstanceId>,
-    /// When the pieces were made.
-    pub(super) pieces_at: Option<Instant>,
-    /// Load that the last engine was chosen by.
-    pub(super) seen: LoadSnapshot,
+    /// When the stage results were computed.
+    pub(super) results_at: Option<Instant>,
+    /// Load on which the choice of the last engine was based.
+    pub(super) load: LoadSnapshot,
 }
 
-/// An engine's answer that has begun, and the results that it still reads.
+/// An engine's answer that has begun, and the stage results that the engine may still read.
 #[derive(Debug)]
-pub(super) struct Running {
-    pub(super) begun: BegunAnswer,
-    pub(super) pieces: Option<JobResults>,
+pub(super) struct EngineAnswer {
+    pub(super) answer: StartedAnswer,
+    pub(super) results: Option<JobResults>,
     pub(super) server: ServerIncarnation,
 }
 
-/// The results that a request needs before an engine can run it.
+/// The stage results that a request needs before an engine can run it.
 #[derive(Debug)]
-enum Pieces {
-    /// They are to be made, or to be made anew.
-    Unmade,
-    /// They are kept; none where the request needs none.
+enum StageResults {
+    /// To be computed or recomputed.
+    Missing,
+    /// Retained by their servers; `None` where the request needs none.
     ///
-    /// An engine that turns a request away has not taken them: they go on to the next engine. Made
-    /// anew, they would come after the aim, and what was made would be thrown away.
-    Made(Option<JobResults>),
+    /// An engine that rejects a request has not consumed them, so the next engine uses them.
+    /// Recomputed, they would be ready only after the latency target, and the first ones be wasted.
+    Retained(Option<JobResults>),
 }
 
-/// What one try at an engine came to.
+/// Outcome of one attempt at an engine.
 #[derive(Debug)]
-enum Tried {
-    /// Its answer has begun.
-    Begun(Box<Running>),
-    /// The request may be tried elsewhere.
-    MayGoOn(Pieces),
+enum AttemptOutcome {
+    /// The engine's answer has begun.
+    Started(Box<EngineAnswer>),
+    /// The request may be sent to another engine.
+    Retry(StageResults),
 }
 
-/// Runs a request; a begun stream is passed on by a task of its own.
+/// Runs a request; a task of its own forwards the stream once it has begun.
 pub(super) async fn run_engine(
     context: &Arc<GatewayContext>,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     service: ServiceId,
-    outgoing: Outgoing,
-    open: OpenRequest,
-) -> Result<Response<AnswerBody>, Refused> {
+    outgoing: OutgoingRequest,
+    open_request: OpenRequest,
+) -> Result<Response<AnswerBody>, Refusal> {
     let mut run = EngineRun {
         context: Arc::clone(context),
         admitted,
         service,
         outgoing,
-        tried: BTreeSet::new(),
-        ran: 0,
-        rejected: 0,
-        remakes: 0,
+        tried_servers: BTreeSet::new(),
+        possible_runs: 0,
+        rejections: 0,
+        recomputations: 0,
         owner: None,
-        pieces_at: None,
-        seen: LoadSnapshot::default(),
+        results_at: None,
+        load: LoadSnapshot::default(),
     };
-    let running = run.begin().await?;
-    if running.begun.head.status.is_success() {
-        return Ok(relay(run, running, open));
+    let answer = run.start().await?;
+    if answer.answer.head.status.is_success() {
+        return Ok(relay_stream(run, answer, open_request));
     }
-    run.pass_failure(running).await
+    run.forward_failure(answer).await
 }
 
 impl EngineRun {
-    /// Has the pieces made and sends the request until an engine has begun to answer.
-    pub(super) async fn begin(&mut self) -> Result<Running, Refused> {
-        let mut pieces = Pieces::Unmade;
+    /// Runs the job and sends the request until an engine has begun to answer.
+    pub(super) async fn start(&mut self) -> Result<EngineAnswer, Refusal> {
+        let mut stage_results = StageResults::Missing;
         loop {
-            if let Err(refused) = self.admitted.check_held(&self.context).await {
-                return Err(self.refused_held(refused));
+            if let Err(refusal) = self.admitted.check_quarantine(&self.context).await {
+                return Err(self.quarantine_refusal(refusal));
             }
-            let server = self.choose().ok_or_else(|| {
-                Refused::no_server_available(self.context.no_server_available(&self.service))
+            let server = self.choose_server().ok_or_else(|| {
+                Refusal::no_server_available(self.context.no_server_available(&self.service))
             })?;
-            // Counted from here on, so that requests which wait for pieces spread as well.
-            let sent = Sent::new(&self.context, &server);
-            let made = match pieces {
-                Pieces::Unmade => self.pieces(&server).await?,
-                Pieces::Made(made) => made,
+            // Counted from here on, so that requests which wait for their jobs are spread over
+            // engines as well.
+            let in_flight_send = InFlightSend::new(&self.context, &server);
+            let results = match stage_results {
+                StageResults::Missing => self.stage_results(&server).await?,
+                StageResults::Retained(results) => results,
             };
-            match self.try_at(&server, made, sent).await? {
-                Tried::Begun(running) => return Ok(*running),
-                Tried::MayGoOn(kept) => pieces = kept,
+            match self.attempt(&server, results, in_flight_send).await? {
+                AttemptOutcome::Started(answer) => return Ok(*answer),
+                AttemptOutcome::Retry(results) => stage_results = results,
             }
-            self.tried.insert(server.incarnation);
+            self.tried_servers.insert(server.incarnation);
         }
     }
 
-    /// One try at an engine.
-    async fn try_at(
+    /// One attempt at an engine.
+    async fn attempt(
         &mut self,
         server: &ServerRecord,
-        pieces: Option<JobResults>,
-        sent: Sent,
-    ) -> Result<Tried, Refused> {
-        let left = self.admitted.left();
-        let sending = send(&self.context, &self.outgoing, &self.admitted, server, sent);
-        let outcome = match tokio::time::timeout(left, sending).await {
+        results: Option<JobResults>,
+        in_flight_send: InFlightSend,
+    ) -> Result<AttemptOutcome, Refusal> {
+        let remaining = self.admitted.remaining();
+        let sending = send(
+            &self.context,
+            &self.outgoing,
+            &self.admitted,
+            server,
+            in_flight_send,
+        );
+        let outcome = match tokio::time::timeout(remaining, sending).await {
             Ok(outcome) => outcome,
-            Err(_elapsed) => return Err(Refused::new(ResultCode::DeadlinePassed)),
+            Err(_elapsed) => return Err(Refusal::new(ResultCode::DeadlinePassed)),
         };
         match outcome {
-            SendOutcome::Answer(begun) => {
-                self.ran += 1;
-                return Ok(Tried::Begun(Box::new(Running {
-                    begun: *begun,
-                    pieces,
+            SendOutcome::Answer(answer) => {
+                self.possible_runs += 1;
+                return Ok(AttemptOutcome::Started(Box::new(EngineAnswer {
+                    answer: *answer,
+                    results,
                     server: server.incarnation.clone(),
                 })));
             }
-            SendOutcome::NotSent => self.not_sent("not-sent", server)?,
-            // It began to leave, its zone was evacuated or its share used up since it was chosen.
-            SendOutcome::Withheld(availability) => self.not_sent(availability.name(), server)?,
-            // Asked again at the head of the loop, which says why.
-            SendOutcome::Held => {}
-            SendOutcome::NotRun => self.rejected("not-run", server)?,
-            SendOutcome::InputGone => {
-                self.remakes += 1;
-                if self.remakes > MOST_REMAKES {
-                    return Err(Refused::new(ResultCode::DeadlineUnreachable));
+            SendOutcome::NotSent => self.add_unsent("not-sent", server)?,
+            // Since the server was chosen, it began to leave, its zone was evacuated or the share
+            // of sends to it was used up.
+            SendOutcome::Withheld(availability) => self.add_unsent(availability.name(), server)?,
+            // Checked again at the start of the loop, which returns the refusal.
+            SendOutcome::Quarantined => {}
+            SendOutcome::NotRun => self.add_rejection("not-run", server)?,
+            SendOutcome::InputMissing => {
+                self.recomputations += 1;
+                if self.recomputations > MAX_RECOMPUTATIONS {
+                    return Err(Refusal::new(ResultCode::DeadlineUnreachable));
                 }
-                self.rejected("input-gone", server)?;
-                return Ok(Tried::MayGoOn(Pieces::Unmade));
+                self.add_rejection("input-gone", server)?;
+                return Ok(AttemptOutcome::Retry(StageResults::Missing));
             }
-            SendOutcome::Lost => self.lost(server)?,
+            SendOutcome::Lost => self.add_loss(server)?,
         }
-        Ok(Tried::MayGoOn(Pieces::Made(pieces)))
+        Ok(AttemptOutcome::Retry(StageResults::Retained(results)))
     }
 
-    /// The answer to a request that is held back: one that an engine began has run.
-    const fn refused_held(&self, refused: Refused) -> Refused {
-        if self.ran == 0 {
-            refused
+    /// The refusal of a quarantined request, which depends on whether an engine may have run it.
+    const fn quarantine_refusal(&self, refusal: Refusal) -> Refusal {
+        if self.possible_runs == 0 {
+            refusal
         } else {
-            Refused::new(ResultCode::AnswerLost)
+            Refusal::new(ResultCode::AnswerLost)
         }
     }
 
-    /// Takes a rejection; an error if nothing more may be tried.
-    fn rejected(&mut self, end: &'static str, server: &ServerRecord) -> Result<(), Refused> {
-        self.not_sent(end, server)?;
+    /// Records a rejection; an error if no further attempt is allowed.
+    fn add_rejection(&mut self, end: &'static str, server: &ServerRecord) -> Result<(), Refusal> {
+        self.add_unsent(end, server)?;
         if !self.context.try_retry(&self.service) {
-            return Err(Refused::new(ResultCode::QueueFull));
+            return Err(Refusal::new(ResultCode::QueueFull));
         }
         Ok(())
     }
 
-    /// Takes a send that never left; an error if too many servers were tried.
+    /// Records a request that was not sent; an error if too many servers were tried.
     ///
-    /// It takes nothing from the repeat budget, as no server has seen it: a quarter of the engines
-    /// that crash at once would use the budget up, and requests whose pieces are made be refused.
-    fn not_sent(&mut self, end: &'static str, server: &ServerRecord) -> Result<(), Refused> {
-        self.log_end(end, server);
-        self.rejected += 1;
-        if self.rejected >= MOST_REJECTED {
-            return Err(Refused::new(ResultCode::QueueFull));
+    /// It does not count against the retry budget, as no server received it. Otherwise, when a
+    /// quarter of the engines crash at once, the budget would be used up and requests with computed
+    /// stage results would be refused.
+    fn add_unsent(&mut self, end: &'static str, server: &ServerRecord) -> Result<(), Refusal> {
+        self.log_unanswered(end, server);
+        self.rejections += 1;
+        if self.rejections >= MAX_REJECTIONS {
+            return Err(Refusal::new(ResultCode::QueueFull));
         }
         Ok(())
     }
 
-    /// Takes a lost answer; an error if the request may not be repeated.
-    fn lost(&mut self, server: &ServerRecord) -> Result<(), Refused> {
-        self.log_end("lost", server);
-        self.ran += 1;
-        if !self.may_repeat() {
-            return Err(Refused::new(ResultCode::AnswerLost));
+    /// Records a lost answer; an error if the request may not be retried.
+    fn add_loss(&mut self, server: &ServerRecord) -> Result<(), Refusal> {
+        self.log_unanswered("lost", server);
+        self.possible_runs += 1;
+        if !self.try_retry() {
+            return Err(Refusal::new(ResultCode::AnswerLost));
         }
         Ok(())
     }
 
-    /// Whether a request that may have run may go to another engine.
-    pub(super) fn may_repeat(&self) -> bool {
+    /// Whether a request that may have run may be sent to another engine; takes a retry from the
+    /// budget.
+    pub(super) fn try_retry(&self) -> bool {
         let route = &self.admitted.route;
         route.kind.may_repeat()
-            && self.ran < route.max_attempts
+            && self.possible_runs < route.max_attempts
             && !self
                 .context
                 .crashes
@@ -229,95 +239,110 @@
             && self.context.try_retry(&self.service)
     }
 
-    /// Leaves an engine out for the rest of the request.
-    pub(super) fn leave_out(&mut self, server: ServerIncarnation) {
-        self.tried.insert(server);
+    /// Excludes an engine for the rest of the request.
+    pub(super) fn exclude(&mut self, server: ServerIncarnation) {
+        self.tried_servers.insert(server);
     }
 
-    fn choose(&mut self) -> Option<ServerRecord> {
+    fn choose_server(&mut self) -> Option<ServerRecord> {
         let (id, zone) = (&self.context.instance, &self.context.zone);
         let entry = SendingEntry::new(id, zone, ConnectionShare::UNLIMITED);
-        let part = self.admitted.work.shared_prefix.as_deref();
+        let shared_prefix = self.admitted.attributes.shared_prefix.as_deref();
         let chosen = self
             .context
-            .choose_server(&self.service, |server_selector, usable, now| match part {
-                Some(part) => server_selector.select_engine(usable, &self.tried, part, now),
-                None => server_selector.select_plain(usable, &self.tried, entry, now),
-            });
-        let (server, seen) = chosen?;
-        self.seen = seen;
+            .choose_server(
+                &self.service,
+                |server_selector, usable, now| match shared_prefix {
+                    Some(shared_prefix) => server_selector.select_engine(
+                        usable,
+                        &self.tried_servers,
+                        shared_prefix,
+                        now,
+                    ),
+                    None => server_selector.select_plain(usable, &self.tried_servers, entry, now),
+                },
+            );
+        let (server, load) = chosen?;
+        self.load = load;
         Some(server)
     }
 
-    async fn pieces(&mut self, reader: &ServerRecord) -> Result<Option<JobResults>, Refused> {
+    async fn stage_results(
+        &mut self,
+        reader: &ServerRecord,
+    ) -> Result<Option<JobResults>, Refusal> {
         let route = Arc::clone(&self.admitted.route);
         if route.stages.is_empty() {
             return Ok(None);
         }
-        let stages = self.stage_orders();
-        let made = if stages.iter().all(|stage| stage.pieces == 0) {
+        let stages = self.stage_specs();
+        let results = if stages.iter().all(|stage| stage.pieces == 0) {
             None
         } else {
             let spec = JobSpec {
-                call: self.admitted.work.call.clone(),
+                call: self.admitted.attributes.call.clone(),
                 route: route.id.clone(),
-                cell: self.context.cluster_view.cell_of(&self.admitted.work.call),
-                piece_key: self.admitted.work.piece_key.clone(),
+                cell: self
+                    .context
+                    .cluster_view
+                    .cell_of(&self.admitted.attributes.call),
+                piece_key: self.admitted.attributes.piece_key.clone(),
                 stages,
                 rank: self.admitted.rank,
-                value_tokens: self.admitted.work.worth_tokens,
+                value_tokens: self.admitted.attributes.worth_tokens,
                 target_latency: route.target_latency,
                 target_latency_left: route
                     .target_latency
-                    .saturating_sub(self.admitted.arrived.elapsed()),
-                deadline_left: self.admitted.left().saturating_sub(ENGINE_RESERVE),
+                    .saturating_sub(self.admitted.arrived_at.elapsed()),
+                deadline_left: self.admitted.remaining().saturating_sub(ENGINE_RESERVE),
                 engine_time: self.engine_time(),
                 reader_zone: reader.zone.clone(),
                 retained: Vec::new(),
             };
-            let making = run_job(&self.context, &self.admitted.request_content, spec);
-            // Guards against a caller that waits for pieces when the process ends: cut off, it
-            // could not tell that its request never ran.
-            let made = tokio::select! {
-                made = tokio::time::timeout(self.admitted.left(), making) => made,
+            let job = run_job(&self.context, &self.admitted.request_content, spec);
+            // Refused before the process exits: a caller whose connection just ended could not know
+            // that its request never ran.
+            let results = tokio::select! {
+                results = tokio::time::timeout(self.admitted.remaining(), job) => results,
                 crashed = self.context.crashes.wait_until_quarantined(&self.admitted.request_content) => {
-                    let code = self.admitted.held_back(crashed);
-                    return Err(self.refused_held(Refused::new(code)));
+                    let code = self.admitted.record_quarantined(crashed);
+                    return Err(self.quarantine_refusal(Refusal::new(code)));
                 }
                 () = self.context.shutdown.unsent_aborted() => {
-                    return Err(Refused::new(ResultCode::NotReady).closing());
+                    return Err(Refusal::new(ResultCode::NotReady).closing());
                 }
             };
-            let made = made.map_err(|_elapsed| Refused::new(ResultCode::DeadlineUnreachable))?;
-            Some(made.map_err(|error| self.no_pieces(&error))?)
+            let results =
+                results.map_err(|_elapsed| Refusal::new(ResultCode::DeadlineUnreachable))?;
+            Some(results.map_err(|error| self.job_refusal(&error))?)
         };
-        if let Some(made) = &made {
-            self.owner = Some(made.owner.clone());
-            self.pieces_at = Some(Instant::now());
-            let took = self.admitted.arrived.elapsed();
+        if let Some(results) = &results {
+            self.owner = Some(results.owner.clone());
+            self.results_at = Some(Instant::now());
+            let took = self.admitted.arrived_at.elapsed();
             self.context.latencies.record("pieces", took);
         }
-        let handles = made.iter().flat_map(|made| &made.handles);
+        let handles = results.iter().flat_map(|results| &results.handles);
         let handles: Vec<_> = handles.map(ResultHandle::as_str).collect();
         let inputs = self.context.dialect.headers.inputs.clone();
-        self.outgoing.set(&inputs, &handles.join(","));
-        Ok(made)
+        self.outgoing.set_header(&inputs, &handles.join(","));
+        Ok(results)
     }
 
-    /// Time that an engine is likely to take to the first event of this prompt.
+    /// Expected time of an engine to the first event of this prompt.
     fn engine_time(&self) -> Duration {
-        let tokens = self.admitted.work.prompt_tokens;
+        let tokens = self.admitted.attributes.prompt_tokens;
         let expected = self
             .context
             .first_event_estimators
             .expected(&self.service, tokens);
-        // A prompt that takes all of the aim cannot be in time whatever its pieces take.
-        let most = self.admitted.route.target_latency / 2;
-        expected.unwrap_or(DEFAULT_ENGINE_TIME).min(most)
+        // A prompt that alone takes the whole target latency misses it however fast the stages are.
+        let max = self.admitted.route.target_latency / 2;
+        expected.unwrap_or(DEFAULT_ENGINE_TIME).min(max)
     }
 
-    fn stage_orders(&self) -> Vec<StageSpec> {
-        let pieces = &self.admitted.work.pieces;
+    fn stage_specs(&self) -> Vec<StageSpec> {
+        let pieces = &self.admitted.attributes.pieces;
         let stages = self.admitted.route.stages.iter().enumerate();
         stages
             .map(|(index, stage)| StageSpec {
@@ -329,13 +354,13 @@
             .collect()
     }
 
-    fn no_pieces(&self, error: &JobError) -> Refused {
+    fn job_refusal(&self, error: &JobError) -> Refusal {
         info!(
-            call = self.admitted.work.call.as_str(), reason:% = error,
-            ms = ms(self.admitted.arrived.elapsed());
+            call = self.admitted.attributes.call.as_str(), reason:% = error,
+            ms = ms(self.admitted.arrived_at.elapsed());
             "request: pieces not made"
         );
-        // The request itself never left for an engine, so it has not run.
+        // The request was not sent to an engine, so it has not run.
         let code = match error {
             JobError::Refused(_, JobFailure::NoServer) => ResultCode::NoBackendServer,
             JobError::Refused(_, JobFailure::Overloaded) => ResultCode::QueueFull,
@@ -343,40 +368,44 @@
             _ => ResultCode::DeadlineUnreachable,
         };
         match error {
-            JobError::Refused(retry_after, _) => Refused::new(code).come_back_in(*retry_after),
-            JobError::Failed(_) => Refused::new(code),
+            JobError::Refused(retry_after, _) => Refusal::new(code).with_retry_after(*retry_after),
+            JobError::Failed(_) => Refusal::new(code),
         }
     }
 
-    async fn pass_failure(&self, running: Running) -> Result<Response<AnswerBody>, Refused> {
-        let BegunAnswer {
+    async fn forward_failure(&self, answer: EngineAnswer) -> Result<Response<AnswerBody>, Refusal> {
+        let StartedAnswer {
             head,
             body,
             connection,
-            sent,
-        } = running.begun;
-        let body = match read_body(body, MAX_FAILURE_BYTES, self.admitted.left()).await {
+            in_flight_send,
+        } = answer.answer;
+        let body = match read_body(body, MAX_FAILURE_BYTES, self.admitted.remaining()).await {
             Ok(body) => body,
             Err(error) => {
-                sent.read_failed(&error, &self.admitted);
-                return Err(Refused::new(ResultCode::AnswerLost));
+                in_flight_send.record_read_failure(&error, &self.admitted);
+                return Err(Refusal::new(ResultCode::AnswerLost));
             }
         };
-        sent.answered(&self.admitted);
+        in_flight_send.record_answer(&self.admitted);
         let share = self.context.connection_share(&self.service);
         self.context
             .pool
             .give_back(connection, &head.headers, share);
-        Ok(passed_on(head.status, &head.headers, whole(body)))
+        Ok(forwarded_response(
+            head.status,
+            &head.headers,
+            full_body(body),
+        ))
     }
 
-    fn log_end(&self, end: &'static str, server: &ServerRecord) {
+    fn log_unanswered(&self, end: &'static str, server: &ServerRecord) {
         info!(
-            call = self.admitted.work.call.as_str(), fingerprint:% = self.admitted.request_content.fingerprint(),
+            call = self.admitted.attributes.call.as_str(), fingerprint:% = self.admitted.request_content.fingerprint(),
             server:% = server.incarnation, end,
-            in_flight = self.seen.in_flight, told:% = self.seen.reported,
-            told_age_ms:% = self.seen.reported_age_ms,
-            ms = ms(self.admitted.arrived.elapsed());
+            in_flight = self.load.in_flight, told:% = self.load.reported,
+            told_age_ms:% = self.load.reported_age_ms,
+            ms = ms(self.admitted.arrived_at.elapsed());
             "request: send without answer"
         );
     }
--- a/crates/amaranthscale/src/gateway/request/event_splitter.rs
+++ b/crates/amaranthscale/src/gateway/request/event_splitter.rs
@@ -1,20 +1,20 @@
-//! Cuts a stream of bytes into whole events.
+//! Splits a byte stream into complete server-sent events.
 //!
-//! A server may stop in the middle of an event. Only whole ones are passed on, so that a stream
-//! which goes on at another server has no torn event in its middle.
+//! A server may stop in the middle of an event. Only complete events are forwarded, so that a
+//! stream which continues at another server contains no partial event.
 
 use bytes::{Bytes, BytesMut};
 
-/// A whole event with its end.
+/// A complete event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// The event's bytes, its blank line included.
+    /// The event's bytes, including the blank line at its end.
     pub bytes: Bytes,
     /// Its id, if it has one.
     pub id: Option<u64>,
 }
 
-/// Cuts events out of what arrives.
+/// Splits received bytes into events.
 ///
 /// # Examples
 ///
@@ -33,12 +33,12 @@
 }
 
 impl EventSplitter {
-    /// Takes bytes as they arrive.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// The next complete event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.event_end()?;
         let bytes = self.buffer.split_to(end).freeze();
@@ -47,7 +47,7 @@
         Some(StreamEvent { bytes, id })
     }
 
-    /// What is left without a blank line.
+    /// The remaining bytes, which no blank line ends.
     #[must_use]
     pub fn rest(&mut self) -> Bytes {
         self.searched = 0;
--- a/crates/amaranthscale/src/gateway/request/outgoing.rs
+++ b/crates/amaranthscale/src/gateway/request/outgoing.rs
@@ -1,4 +1,4 @@
-//! A request as it goes out to a server.
+//! A request as it is sent to servers.
 
 use std::time::Duration;
 
@@ -13,17 +13,17 @@
 use super::super::Dialect;
 use super::answer::copy_headers;
 
-/// A caller's request, ready to be sent any number of times.
+/// A caller's request, prepared to be sent any number of times.
 #[derive(Debug)]
-pub(super) struct Outgoing {
+pub(super) struct OutgoingRequest {
     method: Method,
     path: Uri,
     headers: HeaderMap,
     body: Bytes,
 }
 
-impl Outgoing {
-    /// Takes over what a server gets: all but what concerns the connection or is reserved.
+impl OutgoingRequest {
+    /// Copies all headers but those that are reserved or apply to the caller's connection only.
     pub(super) fn new(
         head: &request::Parts,
         body: Bytes,
@@ -31,7 +31,7 @@
         holder: Option<&KeyHolder>,
     ) -> Self {
         let names = &dialect.headers;
-        let own = [
+        let set_by_gateway = [
             &names.key,
             &names.organisation,
             &names.target,
@@ -39,9 +39,9 @@
         ];
         let mut headers = HeaderMap::with_capacity(head.headers.len() + 4);
         copy_headers(&head.headers, &mut headers, |name| {
-            !own.contains(&name) && !names.reserved.contains(name)
+            !set_by_gateway.contains(&name) && !names.reserved.contains(name)
         });
-        // A caller may list any header as one of its connection's; these must get through.
+        // A caller may list any header as hop-by-hop; these are forwarded nevertheless.
         for name in names.always_forwarded.iter().chain([&names.call]) {
             if !headers.contains_key(name)
                 && let Some(value) = head.headers.get(name)
@@ -50,7 +50,7 @@
             }
         }
         if let Some(holder) = holder {
-            set(
+            set_header(
                 &mut headers,
                 &names.organisation,
                 holder.organisation.as_str(),
@@ -64,32 +64,32 @@
         }
     }
 
-    /// Sets a header for all sends.
-    pub(super) fn set(&mut self, name: &HeaderName, value: &str) {
-        set(&mut self.headers, name, value);
+    /// Sets a header of all further sends.
+    pub(super) fn set_header(&mut self, name: &HeaderName, value: &str) {
+        set_header(&mut self.headers, name, value);
     }
 
-    /// The request for one server with the time that is left.
+    /// The request to one server, with the remaining time.
     pub(super) fn request(
         &self,
         dialect: &Dialect,
         server: &ServerId,
-        left: Duration,
+        remaining: Duration,
     ) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.path.clone();
         let headers = request.headers_mut();
         headers.clone_from(&self.headers);
-        set(headers, &dialect.headers.target, server.as_str());
-        let left_ms = left.as_millis().max(1).to_string();
-        set(headers, &dialect.headers.deadline_ms, &left_ms);
+        set_header(headers, &dialect.headers.target, server.as_str());
+        let remaining_ms = remaining.as_millis().max(1).to_string();
+        set_header(headers, &dialect.headers.deadline_ms, &remaining_ms);
         request
     }
 }
 
-fn set(headers: &mut HeaderMap, name: &HeaderName, value: &str) {
-    // Names and handles are checked to be visible characters when they are read.
+fn set_header(headers: &mut HeaderMap, name: &HeaderName, value: &str) {
+    // Ids and handles are checked when they are parsed, so they contain visible characters only.
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name.clone(), value);
     }
--- a/crates/amaranthscale/src/gateway/request/plain_run.rs
+++ b/crates/amaranthscale/src/gateway/request/plain_run.rs
@@ -15,207 +15,225 @@
 
 use super::super::clock::ms;
 use super::super::process::GatewayContext;
-use super::answer::{AnswerBody, passed_on, whole};
-use super::caller::Admitted;
-use super::outgoing::Outgoing;
-use super::refused::Refused;
-use super::send::{BegunAnswer, SendOutcome, Sent, send};
+use super::answer::{AnswerBody, forwarded_response, full_body};
+use super::caller::AdmittedRequest;
+use super::outgoing::OutgoingRequest;
+use super::refusal::Refusal;
+use super::send::{InFlightSend, SendOutcome, StartedAnswer, send};
 use crate::connection::read_body;
 
-/// Largest body that is held before it is passed on; plain answers are some kilobytes.
+/// Maximum size of an answer, which is buffered before it is forwarded; usual ones are some
+/// kilobytes.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
-/// Sends that servers may reject or that never leave, beyond those that may run.
-const MOST_REJECTED: u32 = 4;
-/// Times the aim after which a repeatable request is tried elsewhere.
-const PATIENCE_AIMS: u32 = 2;
-/// Shortest patience with a server, above any usual answer time.
-const SHORTEST_PATIENCE: Duration = Duration::from_millis(150);
+/// Maximum number of sends that are rejected or not sent, in addition to those that may run.
+const MAX_REJECTIONS: u32 = 4;
+/// Timeout of an attempt at a retryable request, in multiples of the target latency.
+const TIMEOUT_TARGET_LATENCIES: u32 = 2;
+/// Minimum timeout of an attempt, above any usual answer time.
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// A server's whole answer.
-struct WholeAnswer {
+/// A server's complete answer.
+struct BufferedAnswer {
     status: StatusCode,
     headers: HeaderMap,
     body: bytes::Bytes,
 }
 
-/// What one try came to.
-enum Tried {
-    Answered(WholeAnswer),
+/// Outcome of one attempt.
+enum AttemptOutcome {
+    Answered(BufferedAnswer),
     NotSent,
     Withheld(ServerAvailability),
-    Held,
+    Quarantined,
     NotRun,
     Lost,
-    TimeOver,
+    TimedOut,
 }
 
-/// Sends a request until one server has answered or nothing more may be tried.
+/// Sends a request until a server has answered or no further attempt is allowed.
 pub(super) async fn run_plain(
     context: &Arc<GatewayContext>,
-    admitted: &Admitted,
+    admitted: &AdmittedRequest,
     service: &ServiceId,
-    outgoing: &Outgoing,
-) -> Result<Response<AnswerBody>, Refused> {
+    outgoing: &OutgoingRequest,
+) -> Result<Response<AnswerBody>, Refusal> {
     let mut run = PlainRun {
         context,
         admitted,
         service,
-        tried: BTreeSet::new(),
-        may_have_run: 0,
-        rejected: 0,
-        kept_failure: None,
-        seen: LoadSnapshot::default(),
+        tried_servers: BTreeSet::new(),
+        possible_runs: 0,
+        rejections: 0,
+        server_failure: None,
+        load: LoadSnapshot::default(),
         share: context.connection_share(service),
     };
-    run.go(outgoing).await
+    run.run(outgoing).await
 }
 
 struct PlainRun<'a> {
     context: &'a Arc<GatewayContext>,
-    admitted: &'a Admitted,
+    admitted: &'a AdmittedRequest,
     service: &'a ServiceId,
-    tried: BTreeSet<amaranthscale_core::id::ServerIncarnation>,
-    may_have_run: u32,
-    rejected: u32,
-    /// A server's failure that is passed on if no other server does better.
-    kept_failure: Option<WholeAnswer>,
-    /// Load that the last server was chosen by.
-    seen: LoadSnapshot,
+    tried_servers: BTreeSet<amaranthscale_core::id::ServerIncarnation>,
+    possible_runs: u32,
+    rejections: u32,
+    /// A server's error answer, forwarded if no other server succeeds.
+    server_failure: Option<BufferedAnswer>,
+    /// Load on which the choice of the last server was based.
+    load: LoadSnapshot,
     share: ConnectionShare,
 }
 
 impl PlainRun<'_> {
-    async fn go(&mut self, outgoing: &Outgoing) -> Result<Response<AnswerBody>, Refused> {
+    async fn run(&mut self, outgoing: &OutgoingRequest) -> Result<Response<AnswerBody>, Refusal> {
         loop {
-            if let Err(refused) = self.admitted.check_held(self.context).await {
-                return self.give_up(refused);
+            if let Err(refusal) = self.admitted.check_quarantine(self.context).await {
+                return self.finish_unanswered(refusal);
             }
-            let Some(server) = self.choose() else {
+            let Some(server) = self.choose_server() else {
                 let none = self.context.no_server_available(self.service);
-                return self.give_up(Refused::no_server_available(none));
+                return self.finish_unanswered(Refusal::no_server_available(none));
             };
-            let tried = self.try_at(&server, outgoing).await;
-            let has_more = match tried {
-                Tried::Answered(answer) => {
-                    if !answer.status.is_server_error() || !self.may_repeat() {
+            let outcome = self.attempt(&server, outgoing).await;
+            let may_continue = match outcome {
+                AttemptOutcome::Answered(answer) => {
+                    if !answer.status.is_server_error() || !self.try_retry() {
                         self.log_answer(&answer, &server);
-                        return Ok(passed_on(
+                        return Ok(forwarded_response(
                             answer.status,
                             &answer.headers,
-                            whole(answer.body),
+                            full_body(answer.body),
                         ));
                     }
-                    self.kept_failure = Some(answer);
+                    self.server_failure = Some(answer);
                     true
                 }
-                Tried::NotSent | Tried::Withheld(_) => self.may_send_on(),
-                // Asked again at the head of the loop, which says why.
-                Tried::Held => true,
-                Tried::NotRun => self.may_send_on() && self.context.try_retry(self.service),
-                Tried::Lost => {
+                AttemptOutcome::NotSent | AttemptOutcome::Withheld(_) => self.may_try_another(),
+                // Checked again at the start of the loop, which returns the refusal.
+                AttemptOutcome::Quarantined => true,
+                AttemptOutcome::NotRun => {
+                    self.may_try_another() && self.context.try_retry(self.service)
+                }
+                AttemptOutcome::Lost => {
                     self.context.counters.count("answer.lost");
-                    self.may_repeat()
+                    self.try_retry()
                 }
-                Tried::TimeOver => {
-                    let has_time = !self.admitted.left().is_zero();
-                    has_time && self.may_repeat()
+                AttemptOutcome::TimedOut => {
+                    let has_time = !self.admitted.remaining().is_zero();
+                    has_time && self.try_retry()
                 }
             };
-            self.tried.insert(server.incarnation);
-            if !has_more {
-                return self.give_up(Refused::new(ResultCode::QueueFull));
+            self.tried_servers.insert(server.incarnation);
+            if !may_continue {
+                return self.finish_unanswered(Refusal::new(ResultCode::QueueFull));
             }
         }
     }
 
-    fn choose(&mut self) -> Option<ServerRecord> {
+    fn choose_server(&mut self) -> Option<ServerRecord> {
         let entry = SendingEntry::new(&self.context.instance, &self.context.zone, self.share);
         let chosen = self
             .context
             .choose_server(self.service, |server_selector, usable, now| {
-                server_selector.select_plain(usable, &self.tried, entry, now)
+                server_selector.select_plain(usable, &self.tried_servers, entry, now)
             });
-        let (server, seen) = chosen?;
-        self.seen = seen;
+        let (server, load) = chosen?;
+        self.load = load;
         Some(server)
     }
 
-    async fn try_at(&mut self, server: &ServerRecord, outgoing: &Outgoing) -> Tried {
-        let left = self.admitted.left();
-        let sent = Sent::new(self.context, server);
-        let call = &self.admitted.work.call;
-        let whole_answer = async {
-            match send(self.context, outgoing, self.admitted, server, sent).await {
-                SendOutcome::Answer(begun) => self.read(*begun).await,
-                SendOutcome::NotSent => Tried::NotSent,
-                SendOutcome::Withheld(availability) => Tried::Withheld(availability),
-                SendOutcome::Held => Tried::Held,
-                SendOutcome::NotRun | SendOutcome::InputGone => Tried::NotRun,
-                SendOutcome::Lost => Tried::Lost,
+    async fn attempt(
+        &mut self,
+        server: &ServerRecord,
+        outgoing: &OutgoingRequest,
+    ) -> AttemptOutcome {
+        let remaining = self.admitted.remaining();
+        let in_flight_send = InFlightSend::new(self.context, server);
+        let call = &self.admitted.attributes.call;
+        let buffered_answer = async {
+            match send(
+                self.context,
+                outgoing,
+                self.admitted,
+                server,
+                in_flight_send,
+            )
+            .await
+            {
+                SendOutcome::Answer(answer) => self.read_answer(*answer).await,
+                SendOutcome::NotSent => AttemptOutcome::NotSent,
+                SendOutcome::Withheld(availability) => AttemptOutcome::Withheld(availability),
+                SendOutcome::Quarantined => AttemptOutcome::Quarantined,
+                SendOutcome::NotRun | SendOutcome::InputMissing => AttemptOutcome::NotRun,
+                SendOutcome::Lost => AttemptOutcome::Lost,
             }
         };
         let started = Instant::now();
-        let tried = tokio::time::timeout(self.patience(left), whole_answer).await;
-        let tried = tried.unwrap_or(Tried::TimeOver);
-        if matches!(tried, Tried::Answered(_) | Tried::Lost | Tried::TimeOver) {
-            self.may_have_run += 1;
+        let outcome = tokio::time::timeout(self.attempt_timeout(remaining), buffered_answer).await;
+        let outcome = outcome.unwrap_or(AttemptOutcome::TimedOut);
+        if matches!(
+            outcome,
+            AttemptOutcome::Answered(_) | AttemptOutcome::Lost | AttemptOutcome::TimedOut
+        ) {
+            self.possible_runs += 1;
         } else {
-            self.rejected += 1;
+            self.rejections += 1;
         }
-        if !matches!(tried, Tried::Answered(_)) {
+        if !matches!(outcome, AttemptOutcome::Answered(_)) {
             let ms = ms(started.elapsed());
             info!(
                 call = call.as_str(), fingerprint:% = self.admitted.request_content.fingerprint(),
-                server:% = server.incarnation, end = tried.name(),
-                in_flight = self.seen.in_flight, told:% = self.seen.reported,
-                told_age_ms:% = self.seen.reported_age_ms, ms;
+                server:% = server.incarnation, end = outcome.name(),
+                in_flight = self.load.in_flight, told:% = self.load.reported,
+                told_age_ms:% = self.load.reported_age_ms, ms;
                 "request: send without answer"
             );
         }
-        tried
+        outcome
     }
 
-    async fn read(&self, begun: BegunAnswer) -> Tried {
-        let BegunAnswer {
+    async fn read_answer(&self, answer: StartedAnswer) -> AttemptOutcome {
+        let StartedAnswer {
             head,
             body,
             connection,
-            sent,
-        } = begun;
-        match read_body(body, MAX_ANSWER_BYTES, self.admitted.left()).await {
+            in_flight_send,
+        } = answer;
+        match read_body(body, MAX_ANSWER_BYTES, self.admitted.remaining()).await {
             Ok(body) => {
-                sent.answered(self.admitted);
+                in_flight_send.record_answer(self.admitted);
                 self.context
                     .pool
                     .give_back(connection, &head.headers, self.share);
-                Tried::Answered(WholeAnswer {
+                AttemptOutcome::Answered(BufferedAnswer {
                     status: head.status,
                     headers: head.headers,
                     body,
                 })
             }
             Err(error) => {
-                sent.read_failed(&error, self.admitted);
-                Tried::Lost
+                in_flight_send.record_read_failure(&error, self.admitted);
+                AttemptOutcome::Lost
             }
         }
     }
 
-    /// How long one server may take: all the time, unless another one may be tried.
-    fn patience(&self, left: Duration) -> Duration {
+    /// Timeout of an attempt: all remaining time, unless another server may be tried.
+    fn attempt_timeout(&self, remaining: Duration) -> Duration {
         let route = &self.admitted.route;
-        let is_last = self.may_have_run + 1 >= route.max_attempts;
+        let is_last = self.possible_runs + 1 >= route.max_attempts;
         if !route.kind.may_repeat() || is_last {
-            return left;
+            return remaining;
         }
-        let patience = route.target_latency * PATIENCE_AIMS;
-        patience.max(SHORTEST_PATIENCE).min(left)
+        let attempt_timeout = route.target_latency * TIMEOUT_TARGET_LATENCIES;
+        attempt_timeout.max(MIN_ATTEMPT_TIMEOUT).min(remaining)
     }
 
-    /// Whether a request that may have run may be sent again; takes a repeat from the budget.
-    fn may_repeat(&self) -> bool {
+    /// Whether a request that may have run may be sent again; takes a retry from the budget.
+    fn try_retry(&self) -> bool {
         let route = &self.admitted.route;
-        if !route.kind.may_repeat() || self.may_have_run >= route.max_attempts {
+        if !route.kind.may_repeat() || self.possible_runs >= route.max_attempts {
             return false;
         }
         if self
@@ -228,16 +246,16 @@
         self.context.try_retry(self.service)
     }
 
-    /// Whether a request that did not run may go to another server. One that never left takes
-    /// nothing from the repeat budget: no server has seen it.
-    fn may_send_on(&self) -> bool {
-        self.rejected < MOST_REJECTED && !self.admitted.left().is_zero()
+    /// Whether a request that did not run may be sent to another server. One that was not sent does
+    /// not count against the retry budget, as no server received it.
+    fn may_try_another(&self) -> bool {
+        self.rejections < MAX_REJECTIONS && !self.admitted.remaining().is_zero()
     }
 
-    /// One line for an answer that is late, repeated or a failure; the others are counted only.
-    fn log_answer(&self, answer: &WholeAnswer, server: &ServerRecord) {
-        let (admitted, elapsed) = (self.admitted, self.admitted.arrived.elapsed());
-        let sends = self.may_have_run + self.rejected;
+    /// Logs an answer that is late, retried or an error; others are only counted.
+    fn log_answer(&self, answer: &BufferedAnswer, server: &ServerRecord) {
+        let (admitted, elapsed) = (self.admitted, self.admitted.arrived_at.elapsed());
+        let sends = self.possible_runs + self.rejections;
         if sends == 1
             && elapsed <= admitted.route.target_latency
             && !answer.status.is_server_error()
@@ -245,44 +263,44 @@
             return;
         }
         info!(
-            call = admitted.work.call.as_str(), fingerprint:% = admitted.request_content.fingerprint(),
+            call = admitted.attributes.call.as_str(), fingerprint:% = admitted.request_content.fingerprint(),
             route:% = admitted.route.id,
             server:% = server.incarnation, status = answer.status.as_u16(), sends,
-            in_flight = self.seen.in_flight, told:% = self.seen.reported,
-            told_age_ms:% = self.seen.reported_age_ms,
+            in_flight = self.load.in_flight, told:% = self.load.reported,
+            told_age_ms:% = self.load.reported_age_ms,
             aim_ms = ms(admitted.route.target_latency), ms = ms(elapsed);
             "request: answered"
         );
     }
 
-    fn give_up(&mut self, unsent: Refused) -> Result<Response<AnswerBody>, Refused> {
-        if let Some(failure) = self.kept_failure.take() {
-            return Ok(passed_on(
+    fn finish_unanswered(&mut self, refusal: Refusal) -> Result<Response<AnswerBody>, Refusal> {
+        if let Some(failure) = self.server_failure.take() {
+            return Ok(forwarded_response(
                 failure.status,
                 &failure.headers,
-                whole(failure.body),
+                full_body(failure.body),
             ));
         }
-        let is_over = self.admitted.left().is_zero();
-        Err(match (self.may_have_run, is_over) {
-            (0, true) => Refused::new(ResultCode::DeadlineUnreachable),
-            (0, false) => unsent,
-            (_, true) => Refused::new(ResultCode::DeadlinePassed),
-            (_, false) => Refused::new(ResultCode::AnswerLost),
+        let is_over = self.admitted.remaining().is_zero();
+        Err(match (self.possible_runs, is_over) {
+            (0, true) => Refusal::new(ResultCode::DeadlineUnreachable),
+            (0, false) => refusal,
+            (_, true) => Refusal::new(ResultCode::DeadlinePassed),
+            (_, false) => Refusal::new(ResultCode::AnswerLost),
         })
     }
 }
 
-impl Tried {
+impl AttemptOutcome {
     const fn name(&self) -> &'static str {
         match self {
             Self::Answered(_) => "answered",
             Self::NotSent => "not-sent",
             Self::Withheld(availability) => availability.name(),
-            Self::Held => "held",
+            Self::Quarantined => "held",
             Self::NotRun => "not-run",
             Self::Lost => "lost",
-            Self::TimeOver => "time-over",
+            Self::TimedOut => "time-over",
         }
     }
 }
--- a/crates/amaranthscale/src/gateway/request/send.rs
+++ b/crates/amaranthscale/src/gateway/request/send.rs
@@ -12,41 +12,41 @@
 
 use super::super::connection::ServerConnection;
 use super::super::process::GatewayContext;
-use super::caller::Admitted;
-use super::outgoing::Outgoing;
+use super::caller::AdmittedRequest;
+use super::outgoing::OutgoingRequest;
 use crate::connection::{ReadBodyError, SendError};
 
-/// How a send ended before the body of an answer.
+/// Outcome of a send up to the head of its answer.
 #[derive(Debug)]
 pub(super) enum SendOutcome {
-    /// A server's answer has begun.
-    Answer(Box<BegunAnswer>),
-    /// The request never left.
+    /// The server's answer has begun.
+    Answer(Box<StartedAnswer>),
+    /// The request was not sent.
     NotSent,
-    /// The request never left, as the server may not be used now.
+    /// The request was not sent, as the server may not be used now.
     Withheld(ServerAvailability),
-    /// The request never left, as servers crash under it.
-    Held,
-    /// The server says that it did not run it.
+    /// The request was not sent, as it is quarantined.
+    Quarantined,
+    /// The server stated that it did not run the request.
     NotRun,
-    /// A result that the request needs is gone; it did not run.
-    InputGone,
-    /// The request may have run, and no answer can be had.
+    /// A stage result that the request needs is missing; the request did not run.
+    InputMissing,
+    /// The request may have run, and its answer is lost.
     Lost,
 }
 
-/// An answer whose head is in.
+/// An answer whose head was received.
 #[derive(Debug)]
-pub(super) struct BegunAnswer {
+pub(super) struct StartedAnswer {
     pub(super) head: response::Parts,
     pub(super) body: Incoming,
     pub(super) connection: ServerConnection,
-    pub(super) sent: Sent,
+    pub(super) in_flight_send: InFlightSend,
 }
 
-/// A send that counts as in flight at its server until this is dropped.
+/// A send, counted as in flight at its server until this is dropped.
 #[derive(Debug)]
-pub(super) struct Sent {
+pub(super) struct InFlightSend {
     context: std::sync::Arc<GatewayContext>,
     server: amaranthscale_core::id::ServerIncarnation,
     address: SocketAddr,
@@ -54,7 +54,7 @@
     end: SendEnd,
 }
 
-impl Sent {
+impl InFlightSend {
     pub(super) fn new(context: &std::sync::Arc<GatewayContext>, server: &ServerRecord) -> Self {
         context.server_selector().record_send(&server.incarnation);
         Self {
@@ -66,34 +66,34 @@
         }
     }
 
-    /// Says that the whole answer came.
-    pub(super) fn answered(self, admitted: &Admitted) {
-        admitted.completed(&self.context);
+    /// Records that the complete answer was received.
+    pub(super) fn record_answer(self, admitted: &AdmittedRequest) {
+        admitted.record_completion(&self.context);
         self.end(SendEnd::Answered);
     }
 
-    /// Says that the connection ended before the answer did.
-    pub(super) fn cut_off(self, admitted: &Admitted) {
+    /// Records that the connection ended before the answer did.
+    pub(super) fn record_lost(self, admitted: &AdmittedRequest) {
         let crashes = &self.context.crashes;
         crashes.record_lost_run(&self.server, self.address, &admitted.request_content);
         self.end(SendEnd::Failed);
     }
 
-    /// Says that the body of the answer could not be read.
-    pub(super) fn read_failed(self, error: &ReadBodyError, admitted: &Admitted) {
+    /// Records that the body of the answer could not be read.
+    pub(super) fn record_read_failure(self, error: &ReadBodyError, admitted: &AdmittedRequest) {
         match error {
-            ReadBodyError::Broken(_) => self.cut_off(admitted),
+            ReadBodyError::Broken(_) => self.record_lost(admitted),
             ReadBodyError::TooLarge(_) | ReadBodyError::TimedOut(..) => self.end(SendEnd::Failed),
         }
     }
 
-    /// Says how the send ended.
+    /// Records how the send ended.
     pub(super) fn end(mut self, end: SendEnd) {
         self.end = end;
     }
 }
 
-impl Drop for Sent {
+impl Drop for InFlightSend {
     fn drop(&mut self) {
         let now = self.context.cluster_view.clock().now();
         let elapsed = self.started.elapsed();
@@ -102,8 +102,8 @@
                 .server_selector()
                 .record_end(&self.server, self.end, elapsed, now);
         match change {
-            Some(HealthChange::Ejected) => info!(server:% = self.server; "servers: left out"),
-            Some(HealthChange::Readmitted) => info!(server:% = self.server; "servers: taken back"),
+            Some(HealthChange::Ejected) => info!(server:% = self.server; "servers: ejected"),
+            Some(HealthChange::Readmitted) => info!(server:% = self.server; "servers: readmitted"),
             None => {}
         }
     }
@@ -112,47 +112,51 @@
 /// Sends a request and reads the head of the answer.
 pub(super) async fn send(
     context: &GatewayContext,
-    outgoing: &Outgoing,
-    admitted: &Admitted,
+    outgoing: &OutgoingRequest,
+    admitted: &AdmittedRequest,
     server: &ServerRecord,
-    sent: Sent,
+    in_flight_send: InFlightSend,
 ) -> SendOutcome {
-    let call = &admitted.work.call;
+    let call = &admitted.attributes.call;
     let Ok(mut connection) = context.pool.connection(server).await else {
         context.counters.count("servers.unreached");
-        sent.end(SendEnd::Unreachable);
+        in_flight_send.end(SendEnd::Unreachable);
         return SendOutcome::NotSent;
     };
     if !admitted.route.kind.may_repeat() && connection.prove().await.is_err() {
-        // It takes no more connections now: full, but not sick.
+        // The server accepts no more connections: it is full, not failed.
         context.counters.count("connection.reset-unused");
-        sent.end(SendEnd::Rejected);
+        in_flight_send.end(SendEnd::Rejected);
         return SendOutcome::NotSent;
     }
-    if admitted.check_held(context).await.is_err() {
-        sent.end(SendEnd::Abandoned);
-        return SendOutcome::Held;
+    if admitted.check_quarantine(context).await.is_err() {
+        in_flight_send.end(SendEnd::Abandoned);
+        return SendOutcome::Quarantined;
     }
     if let Err(availability) = context.try_reserve_send(server) {
-        sent.end(SendEnd::Abandoned);
+        in_flight_send.end(SendEnd::Abandoned);
         return SendOutcome::Withheld(availability);
     }
     let sent_at = Instant::now();
-    let request = outgoing.request(&context.dialect, server.incarnation.id(), admitted.left());
+    let request = outgoing.request(
+        &context.dialect,
+        server.incarnation.id(),
+        admitted.remaining(),
+    );
     let response = match connection.send(request).await {
         Ok(response) => response,
         Err(SendError::NotSent(..)) => {
-            // A kept connection that has ended says nothing of its server.
+            // A reused connection that has ended does not indicate a failed server.
             let end = if connection.is_kept() {
                 SendEnd::Abandoned
             } else {
                 SendEnd::Failed
             };
-            sent.end(end);
+            in_flight_send.end(end);
             return SendOutcome::NotSent;
         }
         Err(SendError::Lost(..)) => {
-            sent.cut_off(admitted);
+            in_flight_send.record_lost(admitted);
             return SendOutcome::Lost;
         }
     };
@@ -164,8 +168,8 @@
             .server_selector()
             .record_load(&server.incarnation, load, now);
     }
-    if !is_own(context, call, &head) {
-        sent.end(SendEnd::Failed);
+    if !belongs_to_request(context, call, &head) {
+        in_flight_send.end(SendEnd::Failed);
         return SendOutcome::Lost;
     }
     context
@@ -173,41 +177,41 @@
         .record_answer(dialect, &server.incarnation, &head, sent_at);
     if (dialect.did_not_run)(head.status, &head.headers) {
         let is_other = (dialect.is_other_server)(head.status);
-        sent.end(if is_other {
+        in_flight_send.end(if is_other {
             SendEnd::Failed
         } else {
             SendEnd::Rejected
         });
         return if (dialect.is_input_gone)(head.status) {
-            SendOutcome::InputGone
+            SendOutcome::InputMissing
         } else {
             SendOutcome::NotRun
         };
     }
-    SendOutcome::Answer(Box::new(BegunAnswer {
+    SendOutcome::Answer(Box::new(StartedAnswer {
         head,
         body,
         connection,
-        sent,
+        in_flight_send,
     }))
 }
 
-/// Whether an answer belongs to the request and is the server's own.
+/// Whether an answer belongs to the request and is from the server itself.
 ///
-/// Guards against a late or second answer of an earlier request, which arrives where the next
-/// answer is due: it names another call. A success without a stamp, or encoded though nobody asked
-/// for it, is not the server's body.
-fn is_own(context: &GatewayContext, call: &CallId, head: &response::Parts) -> bool {
+/// A late or second answer to an earlier request arrives in place of the next answer; it has
+/// another call id. A successful answer without a stamp, or with an encoding that was not
+/// requested, is not the server's own.
+fn belongs_to_request(context: &GatewayContext, call: &CallId, head: &response::Parts) -> bool {
     let names = &context.dialect.headers;
-    let told = head
+    let answered_call = head
         .headers
         .get(&names.call)
         .and_then(|value| value.to_str().ok());
-    if told.is_some_and(|told| told != call.as_str()) {
+    if answered_call.is_some_and(|answered_call| answered_call != call.as_str()) {
         return false;
     }
     let is_success = head.status.is_success();
     let is_stamped = head.headers.contains_key(&names.stamp);
     let is_encoded = head.headers.contains_key(CONTENT_ENCODING);
-    !is_success || (told.is_some() && is_stamped && !is_encoded)
+    !is_success || (answered_call.is_some() && is_stamped && !is_encoded)
 }
--- a/crates/amaranthscale/src/gateway/request/stream_relay.rs
+++ b/crates/amaranthscale/src/gateway/request/stream_relay.rs
@@ -1,8 +1,8 @@
-//! Passes an engine's stream on, event by event.
+//! Forwards an engine's stream event by event.
 //!
-//! A stream that breaks may go on at another engine from the last event that was passed on, within
-//! the same answer, where its route allows it. Otherwise the caller's connection ends early, so
-//! that the answer cannot look whole.
+//! Where the route allows it, a broken stream continues at another engine from the last forwarded
+//! event, within the same answer. Otherwise the caller's connection is closed, so that the answer
+//! cannot appear complete.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -19,216 +19,224 @@
 
 use super::super::clock::ms;
 use super::super::process::OpenRequest;
-use super::answer::{AnswerBody, BrokenOff, passed_on};
-use super::engine_run::{EngineRun, Running};
+use super::answer::{AnswerBody, TruncatedAnswer, forwarded_response};
+use super::engine_run::{EngineAnswer, EngineRun};
 use super::event_splitter::{EventSplitter, StreamEvent};
-use super::send::BegunAnswer;
+use super::send::StartedAnswer;
 
-/// Events that wait for the caller; a slow caller holds the engine's stream back.
-const EVENTS_AHEAD: usize = 16;
+/// Maximum number of events buffered for the caller; beyond it a slow caller delays the engine's
+/// stream.
+const MAX_BUFFERED_EVENTS: usize = 16;
 
-type EventSender = mpsc::Sender<Result<Bytes, BrokenOff>>;
+type EventSender = mpsc::Sender<Result<Bytes, TruncatedAnswer>>;
 
-/// How one engine's part of a stream ended.
-enum PartEnd {
-    /// All events are passed on.
-    Whole,
-    /// The engine broke off.
+/// How one engine's stream ended.
+enum EngineStreamEnd {
+    /// All events were forwarded.
+    Complete,
+    /// The engine's stream broke.
     Broken,
-    /// The caller has left.
+    /// The caller disconnected.
     CallerLeft,
-    /// The route's or the caller's time is over.
-    TimeOver,
+    /// The deadline passed.
+    TimedOut,
 }
 
-/// The answer for a begun stream; a task of its own passes the events on.
-pub(super) fn relay(run: EngineRun, running: Running, open: OpenRequest) -> Response<AnswerBody> {
-    let (events, received) = mpsc::channel(EVENTS_AHEAD);
-    let body = RelayBody { received };
-    let head = &running.begun.head;
-    let response = passed_on(head.status, &head.headers, body.boxed_unsync());
-    let relay = Relay {
+/// The answer for a stream that has begun; a task of its own forwards the events.
+pub(super) fn relay_stream(
+    run: EngineRun,
+    answer: EngineAnswer,
+    open_request: OpenRequest,
+) -> Response<AnswerBody> {
+    let (sender, events) = mpsc::channel(MAX_BUFFERED_EVENTS);
+    let body = StreamBody { events };
+    let head = &answer.answer.head;
+    let response = forwarded_response(head.status, &head.headers, body.boxed_unsync());
+    let relay = StreamRelay {
         run,
-        events,
+        sender,
         last_id: None,
-        passed: 0,
+        forwarded: 0,
     };
-    tokio::spawn(relay.go(running, open));
+    tokio::spawn(relay.run(answer, open_request));
     response
 }
 
-struct Relay {
+struct StreamRelay {
     run: EngineRun,
-    events: EventSender,
+    sender: EventSender,
     last_id: Option<u64>,
-    passed: u64,
+    forwarded: u64,
 }
 
-impl Relay {
-    async fn go(mut self, mut running: Running, _open: OpenRequest) {
-        let first_at = self.run.admitted.arrived.elapsed();
-        self.run.context.latencies.record("begin", first_at);
-        self.note_prompt_time(first_at);
+impl StreamRelay {
+    async fn run(mut self, mut answer: EngineAnswer, _open_request: OpenRequest) {
+        let first_event_after = self.run.admitted.arrived_at.elapsed();
+        self.run
+            .context
+            .latencies
+            .record("begin", first_event_after);
+        self.record_first_event_time(first_event_after);
         let reason = loop {
-            let server = running.server.clone();
-            match self.pass_part(running).await {
-                PartEnd::Whole => {
-                    self.log("whole", &server, first_at);
+            let server = answer.server.clone();
+            match self.forward_stream(answer).await {
+                EngineStreamEnd::Complete => {
+                    self.log("whole", &server, first_event_after);
                     return;
                 }
-                PartEnd::CallerLeft => {
-                    self.log("caller-left", &server, first_at);
+                EngineStreamEnd::CallerLeft => {
+                    self.log("caller-left", &server, first_event_after);
                     return;
                 }
-                PartEnd::TimeOver => {
-                    self.log("time-over", &server, first_at);
-                    break "the time is over";
+                EngineStreamEnd::TimedOut => {
+                    self.log("time-over", &server, first_event_after);
+                    break "the deadline passed";
                 }
-                PartEnd::Broken => {}
+                EngineStreamEnd::Broken => {}
             }
-            self.log("broken", &server, first_at);
+            self.log("broken", &server, first_event_after);
             match self.resume(server).await {
-                Some(resumed) => running = resumed,
-                None => break "the engine broke off",
+                Some(resumed) => answer = resumed,
+                None => break "the engine's stream broke",
             }
         };
-        // Without a receiver the caller has left, and nothing is owed.
-        let _ = self.events.send(Err(BrokenOff::Early(reason))).await;
+        // Without a receiver the caller has disconnected.
+        let _ = self.sender.send(Err(TruncatedAnswer::Early(reason))).await;
     }
 
-    /// Learns how long the engine took to its first event.
-    fn note_prompt_time(&self, first_at: Duration) {
+    /// Records the time that the engine took to its first event.
+    fn record_first_event_time(&self, first_event_after: Duration) {
         let run = &self.run;
-        let sent_at = run.pieces_at.unwrap_or(run.admitted.arrived);
-        let took = (run.admitted.arrived + first_at).saturating_duration_since(sent_at);
-        let tokens = run.admitted.work.prompt_tokens;
+        let sent_at = run.results_at.unwrap_or(run.admitted.arrived_at);
+        let took = (run.admitted.arrived_at + first_event_after).saturating_duration_since(sent_at);
+        let tokens = run.admitted.attributes.prompt_tokens;
         run.context
             .first_event_estimators
             .record(&run.service, tokens, took);
     }
 
-    /// Passes on what one engine sends.
-    async fn pass_part(&mut self, running: Running) -> PartEnd {
-        let BegunAnswer {
+    /// Forwards one engine's events.
+    async fn forward_stream(&mut self, answer: EngineAnswer) -> EngineStreamEnd {
+        let StartedAnswer {
             head,
             mut body,
             connection,
-            sent,
-        } = running.begun;
-        let mut pieces = running.pieces;
+            in_flight_send,
+        } = answer.answer;
+        let mut results = answer.results;
         let mut splitter = EventSplitter::default();
         loop {
             let frame = tokio::select! {
                 frame = body.frame() => frame,
-                () = self.events.closed() => return PartEnd::CallerLeft,
-                () = tokio::time::sleep_until(self.run.admitted.until) => return PartEnd::TimeOver,
+                () = self.sender.closed() => return EngineStreamEnd::CallerLeft,
+                () = tokio::time::sleep_until(self.run.admitted.deadline) => return EngineStreamEnd::TimedOut,
             };
             let data = match frame {
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
                 Some(Err(_broken)) => {
-                    sent.cut_off(&self.run.admitted);
-                    return PartEnd::Broken;
+                    in_flight_send.record_lost(&self.run.admitted);
+                    return EngineStreamEnd::Broken;
                 }
                 None => break,
             };
-            // The engine has read its inputs before it makes its first event.
-            pieces.take();
+            // The engine has read its inputs before it sends its first event.
+            results.take();
             splitter.push(&data);
             while let Some(event) = splitter.next_event() {
-                if let Err(end) = self.pass(event).await {
+                if let Err(end) = self.forward(event).await {
                     return end;
                 }
             }
         }
-        sent.answered(&self.run.admitted);
+        in_flight_send.record_answer(&self.run.admitted);
         let share = self.run.context.connection_share(&self.run.service);
         self.run
             .context
             .pool
             .give_back(connection, &head.headers, share);
         let rest = splitter.rest();
-        if !rest.is_empty() && self.events.send(Ok(rest)).await.is_err() {
-            return PartEnd::CallerLeft;
+        if !rest.is_empty() && self.sender.send(Ok(rest)).await.is_err() {
+            return EngineStreamEnd::CallerLeft;
         }
-        PartEnd::Whole
+        EngineStreamEnd::Complete
     }
 
-    /// Passes one event on, if it is the next one.
+    /// Forwards an event if it is the next one.
     ///
-    /// Guards against an engine that goes on elsewhere than asked: the stream would have a gap or
-    /// say something twice.
-    async fn pass(&mut self, event: StreamEvent) -> Result<(), PartEnd> {
+    /// An engine that resumes at another event than requested would cause a gap or duplicate
+    /// events.
+    async fn forward(&mut self, event: StreamEvent) -> Result<(), EngineStreamEnd> {
         if let (Some(last), Some(id)) = (self.last_id, event.id)
             && id != last + 1
         {
-            return Err(PartEnd::Broken);
+            return Err(EngineStreamEnd::Broken);
         }
         self.last_id = event.id.or(self.last_id);
-        self.passed += 1;
-        let passed = self.events.send(Ok(event.bytes)).await;
-        passed.map_err(|_left| PartEnd::CallerLeft)
+        self.forwarded += 1;
+        let forwarded = self.sender.send(Ok(event.bytes)).await;
+        forwarded.map_err(|_left| EngineStreamEnd::CallerLeft)
     }
 
-    /// Goes on at another engine, if the route allows it.
-    async fn resume(&mut self, server: ServerIncarnation) -> Option<Running> {
-        if !self.run.may_repeat() {
+    /// Continues the stream at another engine, if the route allows it.
+    async fn resume(&mut self, server: ServerIncarnation) -> Option<EngineAnswer> {
+        if !self.run.try_retry() {
             return None;
         }
-        self.run.leave_out(server);
+        self.run.exclude(server);
         if let Some(last_id) = self.last_id {
             let name = self.run.context.dialect.headers.last_event.clone();
-            self.run.outgoing.set(&name, &last_id.to_string());
+            self.run.outgoing.set_header(&name, &last_id.to_string());
         }
-        let begin = self.run.begin();
-        let running = tokio::select! {
-            running = begin => running.ok()?,
-            () = self.events.closed() => return None,
+        let start = self.run.start();
+        let answer = tokio::select! {
+            answer = start => answer.ok()?,
+            () = self.sender.closed() => return None,
         };
-        if !running.begun.head.status.is_success() {
+        if !answer.answer.head.status.is_success() {
             return None;
         }
         self.run.context.counters.count("stream.resumed");
-        Some(running)
+        Some(answer)
     }
 
-    fn log(&self, end: &'static str, server: &ServerIncarnation, first_at: Duration) {
+    fn log(&self, end: &'static str, server: &ServerIncarnation, first_event_after: Duration) {
         let admitted = &self.run.admitted;
-        // Named only where something went wrong, as a name costs a hash of the body.
+        // Computed only for failed streams, as it takes a hash of the body.
         let fingerprint = if end == "whole" {
             "-".to_owned()
         } else {
             admitted.request_content.fingerprint().to_string()
         };
         let owner = self.run.owner.as_ref().map_or("-", |owner| owner.as_str());
-        let seen = self.run.seen;
-        let pieces_at = self.run.pieces_at.unwrap_or(admitted.arrived);
+        let load = self.run.load;
+        let results_at = self.run.results_at.unwrap_or(admitted.arrived_at);
         info!(
-            call = admitted.work.call.as_str(), fingerprint = fingerprint.as_str(),
+            call = admitted.attributes.call.as_str(), fingerprint = fingerprint.as_str(),
             route:% = admitted.route.id,
-            server:% = server, end, events = self.passed, owner,
-            prompt_tokens = admitted.work.prompt_tokens,
-            in_flight = seen.in_flight, told:% = seen.reported, told_age_ms:% = seen.reported_age_ms,
-            pieces_ms = ms(pieces_at - admitted.arrived),
-            aim_ms = ms(admitted.route.target_latency), begun_ms = ms(first_at), ms = ms(Instant::now() - admitted.arrived);
+            server:% = server, end, events = self.forwarded, owner,
+            prompt_tokens = admitted.attributes.prompt_tokens,
+            in_flight = load.in_flight, told:% = load.reported, told_age_ms:% = load.reported_age_ms,
+            pieces_ms = ms(results_at - admitted.arrived_at),
+            aim_ms = ms(admitted.route.target_latency), begun_ms = ms(first_event_after), ms = ms(Instant::now() - admitted.arrived_at);
             "stream: ended"
         );
     }
 }
 
-/// A body fed by the relay's task.
-struct RelayBody {
-    received: mpsc::Receiver<Result<Bytes, BrokenOff>>,
+/// Response body with the events of the relay's task.
+struct StreamBody {
+    events: mpsc::Receiver<Result<Bytes, TruncatedAnswer>>,
 }
 
-impl Body for RelayBody {
+impl Body for StreamBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = TruncatedAnswer;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
-        let received = self.received.poll_recv(context);
-        received.map(|event| event.map(|event| event.map(Frame::data)))
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedAnswer>>> {
+        let events = self.events.poll_recv(context);
+        events.map(|event| event.map(|event| event.map(Frame::data)))
     }
 }
