--- a/crates/amaranthscale/src/version.rs
+++ b/crates/amaranthscale/src/version.rs
@@ -1,4 +1,4 @@
-//! What lives for a version of shared configuration.
+//! State that lives as long as a version of the shared configuration.
 
 mod edit_proposal;
 mod exchange_peers;
@@ -23,7 +23,8 @@
 pub use tree_client::{ReadTreeError, offer_to_peer, read_from_peer, read_from_table};
 #[doc(inline)]
 pub use tree_sync::{
-    Origin, TreeMessage, TreeStatus, TreeSync, TreeSyncArguments, TreeSyncSettings, TreeSyncState,
+    ReplySource, TreeMessage, TreeStatus, TreeSync, TreeSyncArguments, TreeSyncSettings,
+    TreeSyncState,
 };
 #[doc(inline)]
 pub use tree_sync_handle::TreeSyncHandle;
--- a/crates/amaranthscale/src/version/edit_proposal.rs
+++ b/crates/amaranthscale/src/version/edit_proposal.rs
@@ -1,4 +1,4 @@
-//! An operator's edit, and what became of it.
+//! An operator's edit and its result.
 
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::id::TreeVersion;
@@ -15,17 +15,17 @@
     pub by: String,
 }
 
-/// What became of an edit.
+/// The result of an edit.
 #[derive(Debug)]
 pub enum EditResult {
     /// It is accepted, as this version.
     Accepted(TreeVersion),
-    /// Others came first: the version in force and their edits.
+    /// Other edits came first: the version in force and these edits.
     Conflict(TreeVersion, Vec<EditRecord>),
-    /// It does not hold.
+    /// The edited tree is not valid.
     Invalid(TreeError),
     /// Nothing was tried or changed, for this reason.
     Refused(ResultCode),
-    /// Whether it took effect is not known; looking at the history later tells.
+    /// Whether it took effect is not known; the history shows it later.
     Unknown,
 }
--- a/crates/amaranthscale/src/version/exchange_peers.rs
+++ b/crates/amaranthscale/src/version/exchange_peers.rs
@@ -1,4 +1,4 @@
-//! With which processes a process compares its settings tree.
+//! The peers with which a process compares its settings tree.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -9,14 +9,14 @@
 /// Most peers of one process.
 ///
 /// Each peer is an open connection at both ends, about 46 KiB of memory for each end. Without a
-/// bound an entry among a thousand processes comes to hold two thousand connections. Sixteen keep
-/// the graph of peers connected, and a new edit reaches all in a few rounds, also when some of
-/// them are gone.
+/// bound, an entry among a thousand processes would hold two thousand connections. Sixteen peers
+/// keep the graph connected, so that a new edit reaches all processes in a few rounds even if some
+/// peers are gone.
 const MAX_EXCHANGE_PEERS: usize = 16;
 
-/// Chooses the peers of a host: its own few of the candidates, and the same ones each time.
+/// Chooses a few of the candidates as a host's peers, the same ones each time.
 ///
-/// A host that comes or goes moves at most one of them.
+/// A host that is added or removed changes at most one of them.
 pub fn exchange_peers<'a>(
     own_host: &HostId,
     candidates: impl IntoIterator<Item = &'a HostRecord>,
@@ -34,7 +34,7 @@
         .collect()
 }
 
-/// Only this process goes by the score, so it may differ from one build to the next.
+/// Only this process uses the score, so it may differ between builds.
 fn score(own_host: &HostId, host: &HostId) -> u64 {
     let mut hasher = DefaultHasher::new();
     (own_host.as_str(), host.as_str()).hash(&mut hasher);
--- a/crates/amaranthscale/src/version/planner.rs
+++ b/crates/amaranthscale/src/version/planner.rs
@@ -1,9 +1,9 @@
 //! The actor that plans the placement while this process holds the planner's lease.
 //!
-//! Every entry competes for the lease, if the settings tree wants models at all. The holder plans
-//! from the tree, the host list and the placement in force, and writes in a transaction that
-//! checks the lease row. A holder that was paused past its lease so writes nothing: its transaction
-//! meets the successor's row, and from that row it learns that it is no longer the holder.
+//! Every entry competes for the lease if the settings tree wants models. The holder plans from the
+//! tree, the host list and the placement in force, and writes in a transaction that checks the
+//! lease row. A holder that was paused beyond its lease therefore writes nothing: its transaction
+//! conflicts with the successor's row, which shows it that it is no longer the holder.
 
 mod arguments;
 mod handle;
@@ -46,14 +46,15 @@
 
 use crate::process::{PlatformError, TableWrite, new_write_id};
 
-/// Shortest pause between turns, as a share of the set one; entries that start together part.
-const LEAST_POLL_SHARE: f64 = 0.75;
+/// Shortest time between ticks as a share of the poll interval; it spreads entries that start
+/// together.
+const MIN_POLL_SHARE: f64 = 0.75;
 
 /// A message to the planner.
 #[derive(Debug)]
 pub enum PlannerMessage {
-    /// Time to look at the lease, and to plan if it is held.
-    Turn,
+    /// Time to check the lease, and to plan if it is held.
+    Tick,
 }
 
 /// The actor.
@@ -64,7 +65,7 @@
 #[derive(Debug)]
 pub struct PlannerState {
     arguments: PlannerArguments,
-    published: watch::Sender<PlannerStatus>,
+    status: watch::Sender<PlannerStatus>,
     lease: PlannerLease,
     loads: LoadTracker,
     random: SmallRng,
@@ -80,85 +81,85 @@
     async fn pre_start(
         &self,
         myself: ActorRef<PlannerMessage>,
-        (arguments, published): Self::Arguments,
+        (arguments, status): Self::Arguments,
     ) -> Result<PlannerState, ActorProcessingErr> {
         let incarnation = Incarnation::new(rand::random());
         let settings = arguments.settings;
-        myself.cast(PlannerMessage::Turn)?;
+        myself.cast(PlannerMessage::Tick)?;
         Ok(PlannerState {
             lease: PlannerLease::new(arguments.host.clone(), incarnation, settings.lease_duration),
-            loads: LoadTracker::new(settings.load_patience),
+            loads: LoadTracker::new(settings.load_timeout),
             random: SmallRng::seed_from_u64(arguments.seed),
             started: Instant::now(),
             has_wanted_models: false,
             arguments,
-            published,
+            status,
         })
     }
 
     async fn handle(
         &self,
         myself: ActorRef<PlannerMessage>,
-        PlannerMessage::Turn: PlannerMessage,
+        PlannerMessage::Tick: PlannerMessage,
         state: &mut PlannerState,
     ) -> Result<(), ActorProcessingErr> {
-        if let Err(error) = state.turn().await {
+        if let Err(error) = state.tick().await {
             state.count("unanswered");
             log::debug!("planner: the platform gave no answer: {error}");
         }
-        state.show_lease();
-        drop(myself.send_after(state.jittered_poll(), || PlannerMessage::Turn));
+        state.publish_lease();
+        drop(myself.send_after(state.jittered_poll(), || PlannerMessage::Tick));
         Ok(())
     }
 }
 
 impl PlannerState {
-    async fn turn(&mut self) -> Result<(), PlatformError> {
+    async fn tick(&mut self) -> Result<(), PlatformError> {
         let tree = Arc::clone(&self.arguments.tree.borrow());
         let hosts = self.arguments.hosts.borrow().clone();
-        // Failure: a starting entry takes the lease and plans from nothing, and the placement is
-        // emptied. Guard: without a host list, or with a tree that is not ready or has never wanted
-        // models, it does not compete.
+        // Guards against a starting entry that takes the lease, plans without data and empties the
+        // placement: an entry does not compete without a host list, or with a tree that is not
+        // ready or has never wanted models.
         let Some(hosts) = hosts else {
             return Ok(());
         };
         if !*self.arguments.is_tree_ready.borrow() {
             return Ok(());
         }
-        // Once models were wanted it goes on, so that the last of them are taken from the plan.
+        // Once models were wanted it continues, so that the last of them are removed from the plan.
         self.has_wanted_models |= wants_models(&tree);
         if !self.has_wanted_models {
             return Ok(());
         }
-        self.campaign().await?;
+        self.renew_or_acquire_lease().await?;
         match self.lease.held(self.now()) {
-            Some(lease) => self.place(lease, &tree, &hosts).await,
+            Some(lease) => self.update_placement(lease, &tree, &hosts).await,
             None => Ok(()),
         }
     }
 
-    /// Reads the lease row, and renews or takes the lease if that is due.
-    async fn campaign(&mut self) -> Result<(), PlatformError> {
-        let asked = self.now();
+    /// Reads the lease row, and renews or acquires the lease if that is due.
+    async fn renew_or_acquire_lease(&mut self) -> Result<(), PlatformError> {
+        let requested_at = self.now();
         let row = self.arguments.platform.row(LEASE_KEY).await?;
-        self.lease.observe(&row, asked);
-        let asked = self.now();
-        let Some(write) = self.lease.next_write(asked, new_write_id()) else {
+        self.lease.observe(&row, requested_at);
+        let requested_at = self.now();
+        let Some(write) = self.lease.next_write(requested_at, new_write_id()) else {
             return Ok(());
         };
-        let until = Instant::now() + self.arguments.settings.write_patience;
+        let deadline = Instant::now() + self.arguments.settings.write_timeout;
         let step = TableWrite::new(write)
-            .settle_until(&self.arguments.platform, until)
+            .settle_until(&self.arguments.platform, deadline)
             .await;
         self.count("lease_written");
         if let Some(row) = step.as_ref().and_then(row_of) {
-            self.lease.observe(row, asked);
+            self.lease.observe(row, requested_at);
         }
         Ok(())
     }
 
     /// Plans, and writes the plan if it changes anything.
-    async fn place(
+    async fn update_placement(
         &mut self,
         lease: HeldLease,
         tree: &CompiledTree,
@@ -166,8 +167,9 @@
     ) -> Result<(), PlatformError> {
         let row = self.arguments.platform.row(PLACEMENT_KEY).await?;
         let current = self.parse(&row);
-        // Failure: a new holder whose tree is behind undoes the placement of an accepted edit.
-        // Guard: the placement names its tree, and nobody plans from an older one.
+        // Guards against a new holder with an outdated tree, which would undo the placement of an
+        // accepted edit: the placement has its tree's version, and no holder plans from an older
+        // one.
         if tree.version() < current.tree_version {
             self.count("tree_behind");
             return Ok(());
@@ -184,7 +186,7 @@
             now: self.now(),
             limits: self.arguments.settings.limits,
         });
-        self.show_plan(&row, &planned);
+        self.publish_plan(&row, &planned);
         if planned.assignments != current.assignments {
             self.write(lease, &row, tree, planned).await;
         }
@@ -201,10 +203,10 @@
         self.arguments.before_write.pass().await;
         let assignments = planned.assignments;
         let write = placement_write(&lease, row, tree.version(), assignments, new_write_id());
-        let asked = self.now();
-        let until = Instant::now() + self.arguments.settings.write_patience;
+        let requested_at = self.now();
+        let deadline = Instant::now() + self.arguments.settings.write_timeout;
         let settled = TableWrite::new(write)
-            .settle_until(&self.arguments.platform, until)
+            .settle_until(&self.arguments.platform, deadline)
             .await;
         let Some(step) = settled else {
             self.count("undecided");
@@ -214,25 +216,25 @@
             WriteStep::Won { row } => {
                 self.count("placed");
                 info!("planner: placement {} is written", row.version);
-                self.published.send_modify(|status| {
+                self.status.send_modify(|status| {
                     status.placement_version = PlacementVersion::new(row.version.get());
                 });
             }
             WriteStep::LostTo { row } if row.key == LEASE_KEY => {
                 self.count("lease_lost");
-                warn!("planner: the lease has moved on, so the plan was not written");
-                self.lease.observe(&row, asked);
+                warn!("planner: plan not written, as another process has the lease");
+                self.lease.observe(&row, requested_at);
             }
             WriteStep::LostTo { .. } | WriteStep::Superseded { .. } => self.count("overtaken"),
-            // It commits only over the row and the lease that it names, so it may still come about
-            // safely; the next turn reads the row again.
+            // It commits only if the row and the lease are still those that it names, so a late
+            // commit is safe; the next tick reads the row again.
             WriteStep::Undecided { .. } | WriteStep::Send | WriteStep::ReadBack => {
                 self.count("undecided");
             }
         }
     }
 
-    /// Reads a placement; one that cannot be read is planned anew, as nobody else would mend it.
+    /// Parses a placement; an invalid one is planned anew, as nothing else would repair it.
     fn parse(&self, row: &Row) -> Placement {
         let placement = Placement::parse(row);
         if placement.is_none() && !row.value.is_empty() {
@@ -245,13 +247,13 @@
         placement.unwrap_or_default()
     }
 
-    fn show_plan(&self, row: &Row, planned: &PlannedPlacement) {
+    fn publish_plan(&self, row: &Row, planned: &PlannedPlacement) {
         let now = self.now();
         let overdue = self.loads.overdue(now);
         let overdue_loads = overdue.map(|(host, model)| OverdueLoad::new(host, model));
         let overdue_loads: Vec<_> = overdue_loads.collect();
         let loads_in_flight = self.loads.in_flight(now).count();
-        self.published.send_modify(|status| {
+        self.status.send_modify(|status| {
             status.placement_version = PlacementVersion::new(row.version.get());
             status.loads_in_flight = loads_in_flight;
             status.waiting_loads = planned.waiting_loads;
@@ -260,15 +262,15 @@
         });
     }
 
-    /// Shows whether the lease is held; what a former holder knew of loads is outdated.
-    fn show_lease(&self) {
+    /// Publishes whether the lease is held; what a former holder knew of loads is outdated.
+    fn publish_lease(&self) {
         let fencing = self.lease.held(self.now()).map(|lease| lease.fencing);
-        let before = self.published.borrow().fencing;
+        let before = self.status.borrow().fencing;
         if fencing == before {
             return;
         }
         log_lease(fencing);
-        self.published.send_modify(|status| match fencing {
+        self.status.send_modify(|status| match fencing {
             Some(_) => status.fencing = fencing,
             None => *status = PlannerStatus::default(),
         });
@@ -283,7 +285,7 @@
     }
 
     fn jittered_poll(&mut self) -> Duration {
-        let share = self.random.random_range(LEAST_POLL_SHARE..1.0);
+        let share = self.random.random_range(MIN_POLL_SHARE..1.0);
         self.arguments.settings.poll_interval.mul_f64(share)
     }
 }
@@ -306,7 +308,7 @@
 
 fn log_lease(fencing: Option<FencingNumber>) {
     match fencing {
-        Some(fencing) => info!("planner: the lease is ours, with number {fencing}"),
-        None => info!("planner: the lease is no longer ours"),
+        Some(fencing) => info!("planner: lease acquired with fencing number {fencing}"),
+        None => info!("planner: lease no longer held"),
     }
 }
--- a/crates/amaranthscale/src/version/planner/arguments.rs
+++ b/crates/amaranthscale/src/version/planner/arguments.rs
@@ -1,4 +1,4 @@
-//! What a planner starts with.
+//! Arguments of a planner.
 
 use std::sync::Arc;
 
@@ -11,12 +11,12 @@
 use crate::connection::PeerClient;
 use crate::process::{Counters, PlatformClient};
 
-/// What a planner starts with.
+/// Arguments of a planner.
 #[derive(Debug, Clone)]
 pub struct PlannerArguments {
     /// Host of this process.
     pub host: HostId,
-    /// How to compete.
+    /// Intervals, timeouts and bounds.
     pub settings: PlannerSettings,
     /// The platform.
     pub platform: PlatformClient,
@@ -24,9 +24,9 @@
     pub peers: Arc<PeerClient>,
     /// Settings tree in force.
     pub tree: watch::Receiver<Arc<CompiledTree>>,
-    /// Whether the process may decide by that tree.
+    /// Whether the process may make decisions from that tree.
     pub is_tree_ready: watch::Receiver<bool>,
-    /// The host list; none before it was read.
+    /// The host list; none until it was read.
     pub hosts: watch::Receiver<Option<Arc<HostList>>>,
     /// Counters of this process.
     pub counters: Arc<Counters>,
--- a/crates/amaranthscale/src/version/planner/handle.rs
+++ b/crates/amaranthscale/src/version/planner/handle.rs
@@ -1,38 +1,38 @@
-//! What the rest of a process asks its planner.
+//! The handle to a process's planner.
 
 use ractor::{Actor, ActorRef, SpawnErr};
 use tokio::sync::watch;
 
 use super::{Planner, PlannerArguments, PlannerMessage, PlannerStatus};
 
-/// Shows and stops a planner.
+/// Shows the status of a planner, and stops it.
 #[derive(Debug, Clone)]
 pub struct PlannerHandle {
     actor: ActorRef<PlannerMessage>,
-    published: watch::Receiver<PlannerStatus>,
+    status: watch::Receiver<PlannerStatus>,
 }
 
 impl PlannerHandle {
     /// Starts a planner.
     pub async fn start(arguments: PlannerArguments) -> Result<Self, SpawnErr> {
-        let (status, published) = watch::channel(PlannerStatus::default());
-        let (actor, _joined) = Actor::spawn(None, Planner, (arguments, status)).await?;
-        Ok(Self { actor, published })
+        let (sender, status) = watch::channel(PlannerStatus::default());
+        let (actor, _joined) = Actor::spawn(None, Planner, (arguments, sender)).await?;
+        Ok(Self { actor, status })
     }
 
-    /// State of the planner.
+    /// Status of the planner.
     #[must_use]
     pub fn status(&self) -> PlannerStatus {
-        self.published.borrow().clone()
+        self.status.borrow().clone()
     }
 
-    /// State of the planner, as it changes.
+    /// Status of the planner, as a channel of its changes.
     #[must_use]
     pub fn statuses(&self) -> watch::Receiver<PlannerStatus> {
-        self.published.clone()
+        self.status.clone()
     }
 
-    /// Stops the planner; its lease lapses by itself.
+    /// Stops the planner; its lease expires by itself.
     pub fn stop(&self) {
         self.actor.stop(None);
     }
--- a/crates/amaranthscale/src/version/planner/load_reports.rs
+++ b/crates/amaranthscale/src/version/planner/load_reports.rs
@@ -1,4 +1,4 @@
-//! Asks sidecars what their engines run.
+//! Queries sidecars for the models that their engines run.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,16 +13,17 @@
 use super::PlannerArguments;
 use crate::connection::{PeerClient, read_body};
 
-/// Path of a sidecar that tells of its engine.
+/// Path at which a sidecar reports on its engine.
 const ENGINE_PATH: &str = "/engine";
-/// Longest wait for one sidecar; a silent one is asked again at the next turn.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Longest wait for one sidecar; one that does not answer is queried again at the next tick.
+const TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest report.
 const MAX_REPORT_BYTES: usize = 1024 * 1024;
 
 /// What the engines with unconfirmed loads run, as far as their sidecars answer.
 ///
-/// Only those are asked: a few at a time, as loads are paced, and all once after a take-over.
+/// Only these are queried: a few at a time, as loads are limited, and all of them once after the
+/// lease has changed its holder.
 pub(super) async fn read_reports(
     arguments: &PlannerArguments,
     loads: &LoadTracker,
@@ -46,9 +47,9 @@
         if !response.status().is_success() {
             return None;
         }
-        let body = read_body(response.into_body(), MAX_REPORT_BYTES, PATIENCE);
+        let body = read_body(response.into_body(), MAX_REPORT_BYTES, TIMEOUT);
         let report: EngineReport = wire::decode(&body.await.ok()?).ok()?;
         report.running
     };
-    timeout(PATIENCE, reading).await.ok().flatten()
+    timeout(TIMEOUT, reading).await.ok().flatten()
 }
--- a/crates/amaranthscale/src/version/planner/status.rs
+++ b/crates/amaranthscale/src/version/planner/status.rs
@@ -1,4 +1,4 @@
-//! What an entry shows of its planner.
+//! Status of an entry's planner.
 
 use amaranthscale_core::id::{FencingNumber, PlacementVersion};
 use amaranthscale_core::version::Shortfall;
@@ -6,10 +6,10 @@
 
 use super::OverdueLoad;
 
-/// What an entry shows of its planner; all but empty on entries that do not hold the lease.
+/// Status of an entry's planner; all but empty on entries that do not hold the lease.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct PlannerStatus {
-    /// Number under which this entry holds the lease; none if another does.
+    /// Fencing number of this entry's lease; none if another entry holds it.
     pub fencing: Option<FencingNumber>,
     /// Placement in force.
     pub placement_version: PlacementVersion,
--- a/crates/amaranthscale/src/version/planner/write_gate.rs
+++ b/crates/amaranthscale/src/version/planner/write_gate.rs
@@ -1,17 +1,17 @@
-//! A point at which tests hold a planner, as a pause of its process would.
+//! A point at which tests stop a planner, as a pause of its process would.
 
 use std::fmt;
 use std::pin::Pin;
 use std::sync::Arc;
 
-type Passing = Pin<Box<dyn Future<Output = ()> + Send>>;
+type PassFuture = Pin<Box<dyn Future<Output = ()> + Send>>;
 
-/// What a planner passes between its decision and the write; nothing, unless a test holds it.
+/// A gate between a planner's decision and its write; always open unless a test closes it.
 #[derive(Clone, Default)]
-pub struct WriteGate(Option<Arc<dyn Fn() -> Passing + Send + Sync>>);
+pub struct WriteGate(Option<Arc<dyn Fn() -> PassFuture + Send + Sync>>);
 
 impl WriteGate {
-    /// A gate that is open once the future is done.
+    /// A gate that opens when the future completes.
     pub fn new<F>(pass: impl Fn() -> F + Send + Sync + 'static) -> Self
     where
         F: Future<Output = ()> + Send + 'static,
--- a/crates/amaranthscale/src/version/published_tree.rs
+++ b/crates/amaranthscale/src/version/published_tree.rs
@@ -1,4 +1,4 @@
-//! Where a keeper publishes the tree for the rest of its process.
+//! The channels that publish the settings tree to the rest of a process.
 
 use std::sync::Arc;
 
@@ -6,17 +6,17 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The writing ends, which the keeper holds.
+/// The sending ends, which belong to the actor that synchronises the tree.
 #[derive(Debug)]
 pub struct PublishedTree {
     /// Tree in force.
     pub in_force: watch::Sender<Arc<CompiledTree>>,
     /// Tree in force with the edits that led to it.
     pub log: watch::Sender<Arc<TreeLog>>,
-    /// Whether the process has learned a version that it may decide by.
+    /// Whether the process has a version that it may make decisions from.
     pub ready: watch::Sender<bool>,
-    /// When the keeper last looked at the table.
-    pub polled: watch::Sender<Instant>,
+    /// Time of the last poll of the table.
+    pub last_poll: watch::Sender<Instant>,
 }
 
 impl PublishedTree {
@@ -27,7 +27,7 @@
             in_force: watch::Sender::new(Arc::clone(log.current())),
             log: watch::Sender::new(Arc::new(log)),
             ready: watch::Sender::new(false),
-            polled: watch::Sender::new(Instant::now()),
+            last_poll: watch::Sender::new(Instant::now()),
         }
     }
 }
--- a/crates/amaranthscale/src/version/tree_client.rs
+++ b/crates/amaranthscale/src/version/tree_client.rs
@@ -13,14 +13,14 @@
 use crate::connection::{PeerClient, read_body_with_idle_timeout};
 use crate::process::{ControlKind, PlatformClient, PlatformError};
 
-/// Most edits read in one go; whoever is further behind takes the snapshot first.
+/// Most edits in one read; a process that is further behind reads the snapshot first.
 const MAX_EDITS_READ: usize = 256;
 /// Prefix of all rows that hold an edit.
 const EDIT_PREFIX: &str = "tree/edit/";
-/// Longest reply of a peer: a whole tree with some room to grow.
+/// Longest reply of a peer: a whole tree, with a margin for its growth.
 const MAX_REPLY_BYTES: usize = 16 * 1024 * 1024;
 /// Longest wait for a peer.
-const PEER_PATIENCE: Duration = Duration::from_secs(1);
+const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
 quick_error! {
     /// A tree that could not be read.
@@ -32,7 +32,7 @@
             source(cause)
             from()
         }
-        /// A row holds something else.
+        /// A row has an invalid value.
         Malformed(key: String) {
             display("row {key} cannot be read")
         }
@@ -43,7 +43,7 @@
     }
 }
 
-/// Reads from the table what came after a version.
+/// Reads the changes after a version from the table.
 pub async fn read_from_table(
     platform: &PlatformClient,
     version: TreeVersion,
@@ -54,7 +54,7 @@
     }
     if head.get() - version.get() > MAX_EDITS_READ as u64 {
         let snapshot = platform.row(TREE_SNAPSHOT_KEY).await?;
-        if let Some(reply) = whole(&snapshot)? {
+        if let Some(reply) = snapshot_reply(&snapshot)? {
             return Ok(reply);
         }
     }
@@ -67,24 +67,24 @@
     })
 }
 
-/// Asks a peer what came after a version.
+/// Reads the changes after a version from a peer.
 pub async fn read_from_peer(
     peers: &PeerClient,
     address: SocketAddr,
     from: &HostId,
     version: TreeVersion,
 ) -> Result<TreeReply, ReadTreeError> {
-    let since = TreeRequest {
+    let request = TreeRequest {
         from: from.clone(),
         version,
     };
     let kind = ControlKind::TreeExchange;
-    let message = wire::encode(&since);
+    let message = wire::encode(&request);
     let body = post(peers, address, kind, "/tree/since", message).await?;
     wire::decode(body).map_err(|_malformed| ReadTreeError::Peer(address))
 }
 
-/// Hands new edits to a peer; whether it took them does not matter to the edit.
+/// Offers new edits to a peer; the edits are valid whether it applies them or not.
 pub async fn offer_to_peer(
     peers: &PeerClient,
     address: SocketAddr,
@@ -106,11 +106,10 @@
     let sent_bytes = path.len() + message.len();
     let answer = async {
         let answering = peers.post(address, path, message);
-        let response = tokio::time::timeout(PEER_PATIENCE, answering).await.ok()?;
+        let response = tokio::time::timeout(PEER_TIMEOUT, answering).await.ok()?;
         let response = response.ok()?;
         let is_success = response.status().is_success();
-        let body =
-            read_body_with_idle_timeout(response.into_body(), MAX_REPLY_BYTES, PEER_PATIENCE);
+        let body = read_body_with_idle_timeout(response.into_body(), MAX_REPLY_BYTES, PEER_TIMEOUT);
         let body = body.await.ok()?;
         is_success.then_some(body)
     };
@@ -136,7 +135,7 @@
     Ok(head.version)
 }
 
-fn whole(row: &Row) -> Result<Option<TreeReply>, ReadTreeError> {
+fn snapshot_reply(row: &Row) -> Result<Option<TreeReply>, ReadTreeError> {
     if row.value.is_empty() {
         return Ok(None);
     }
--- a/crates/amaranthscale/src/version/tree_sync.rs
+++ b/crates/amaranthscale/src/version/tree_sync.rs
@@ -1,9 +1,9 @@
-//! The actor that keeps the settings tree of a process in force.
+//! The actor that synchronises the settings tree of a process.
 //!
-//! Three ways lead to a newer version: a poll of one small row of the table, a comparison with
-//! one random peer, and word of a higher version on any message. All three end in the same
-//! place, which takes higher versions only. Waiting for the table or a peer happens in tasks, so
-//! that peers who ask are answered at once, also while the table is away.
+//! It learns of a newer version in three ways: from a poll of one small row of the table, from a
+//! comparison with one random peer, and from a higher version in any message. All three end in the
+//! same function, which applies only higher versions. Requests to the table or a peer run in tasks,
+//! so that requests of peers are answered at once, even while the table is unavailable.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,13 +26,13 @@
 use crate::process::settings::TreeSettings;
 use crate::process::{Counters, PlatformClient};
 
-/// Pause while a process without a tree looks for one.
-const START_PAUSE: Duration = Duration::from_millis(200);
+/// Time between polls, and between exchanges, while a process is not ready.
+const NOT_READY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Polls that a process must have missed to count as paused; fewer would doubt a busy machine.
-const PAUSE_POLLS: u32 = 3;
+/// Polls that a process must have missed to count as paused; fewer would affect a busy host.
+const MISSED_POLLS: u32 = 3;
 
-/// How often the keeper looks for a newer tree.
+/// How often the actor looks for a newer tree.
 #[derive(Debug, Clone, Copy)]
 pub struct TreeSyncSettings {
     /// Time between polls of the table.
@@ -51,14 +51,14 @@
 }
 
 impl TreeSyncSettings {
-    /// Whether a keeper that has not polled for so long was paused.
-    pub(super) fn is_pause(&self, unseen: Duration) -> bool {
-        unseen > self.poll_interval * PAUSE_POLLS
+    /// Whether an actor with this time since its last poll was paused.
+    pub(super) fn is_pause(&self, since_last_poll: Duration) -> bool {
+        since_last_poll > self.poll_interval * MISSED_POLLS
     }
 }
 
 impl From<&TreeSettings> for TreeSyncSettings {
-    /// An exchange time of 0 ms switches the exchange off.
+    /// An exchange interval of 0 ms switches the exchange off.
     fn from(settings: &TreeSettings) -> Self {
         let exchange = Duration::from_millis(settings.exchange_ms);
         Self {
@@ -68,18 +68,18 @@
     }
 }
 
-/// What the keeper starts with.
+/// Arguments of the actor.
 #[derive(Debug, Clone)]
 pub struct TreeSyncArguments {
     /// Host of this process.
     pub host: HostId,
-    /// How often to look.
+    /// Intervals of polls and exchanges.
     pub settings: TreeSyncSettings,
     /// The platform.
     pub platform: PlatformClient,
     /// Connections to peers.
     pub peers: Arc<PeerClient>,
-    /// Addresses of other processes that keep a tree.
+    /// Addresses of other processes that have a tree.
     pub peer_addresses: watch::Receiver<Vec<SocketAddr>>,
     /// Counters of this process.
     pub counters: Arc<Counters>,
@@ -92,34 +92,34 @@
 pub struct TreeStatus {
     /// Version in force.
     pub version: TreeVersion,
-    /// Whether the process has learned a version it may decide by.
+    /// Whether the process has a version that it may make decisions from.
     pub is_ready: bool,
 }
 
-/// A message to the keeper.
+/// A message to the actor.
 #[derive(Debug)]
 pub enum TreeMessage {
-    /// Time to look at the table.
+    /// Time to poll the table.
     Poll,
-    /// Time to compare with a peer.
+    /// Time to compare versions with a peer.
     Exchange,
     /// A process at this address has this version.
-    Heard(TreeVersion, SocketAddr),
-    /// A question asked at this time was answered, or was not.
-    Take(Result<TreeReply, String>, Origin, Instant),
-    /// A peer hands on what it has.
-    Offered(TreeReply),
-    /// Some process has this version; which one to ask is not known.
-    HeardOf(TreeVersion),
+    PeerVersion(TreeVersion, SocketAddr),
+    /// The reply to a request that was sent at this time, or why there is none.
+    Reply(Result<TreeReply, String>, ReplySource, Instant),
+    /// Changes that a peer offers.
+    Offer(TreeReply),
+    /// Some process, whose address is not known, has this version.
+    VersionReported(TreeVersion),
     /// An edit of this process was accepted.
     Accepted(Box<EditRecord>, RpcReplyPort<()>),
-    /// What is the state?
+    /// Asks for the status.
     Status(RpcReplyPort<TreeStatus>),
 }
 
-/// Where a reply came from.
+/// The source of a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Origin {
+pub enum ReplySource {
     /// The platform's table.
     Table,
     /// Another process.
@@ -137,9 +137,9 @@
     log: TreeLog,
     published: PublishedTree,
     random: SmallRng,
-    doubted_at: Instant,
-    is_table_away: bool,
-    last_heard: TreeVersion,
+    valid_replies_from: Instant,
+    is_table_unavailable: bool,
+    last_reported: TreeVersion,
 }
 
 impl Actor for TreeSync {
@@ -158,15 +158,15 @@
         if arguments.settings.exchange_interval.is_some() {
             myself.cast(TreeMessage::Exchange)?;
         }
-        let (doubted_at, is_table_away) = (Instant::now(), false);
+        let (valid_replies_from, is_table_unavailable) = (Instant::now(), false);
         Ok(TreeSyncState {
             arguments,
             log,
             published,
             random,
-            doubted_at,
-            is_table_away,
-            last_heard: TreeVersion::default(),
+            valid_replies_from,
+            is_table_unavailable,
+            last_reported: TreeVersion::default(),
         })
     }
 
@@ -179,14 +179,14 @@
         match message {
             TreeMessage::Poll => state.poll(&myself),
             TreeMessage::Exchange => state.exchange(&myself),
-            TreeMessage::Heard(version, address) => state.heard(&myself, version, address),
-            TreeMessage::Take(reply, origin, asked_at) => state.answered(reply, origin, asked_at),
-            TreeMessage::Offered(offer) => {
-                state.take(offer);
+            TreeMessage::PeerVersion(version, address) => state.compare(&myself, version, address),
+            TreeMessage::Reply(reply, source, sent_at) => state.on_reply(reply, source, sent_at),
+            TreeMessage::Offer(offer) => {
+                state.apply(offer);
             }
-            TreeMessage::HeardOf(version) => state.report_version(&myself, version),
+            TreeMessage::VersionReported(version) => state.on_version_reported(&myself, version),
             TreeMessage::Accepted(record, reply) => {
-                state.accepted(*record);
+                state.on_edit_accepted(*record);
                 let _ = reply.send(());
             }
             TreeMessage::Status(reply) => {
@@ -198,125 +198,133 @@
 }
 
 impl TreeSyncState {
-    /// Looks at the table, and sets the time for the next look.
+    /// Polls the table and schedules the next poll.
     fn poll(&mut self, myself: &ActorRef<TreeMessage>) {
-        self.doubt_after_pause();
-        let every = if *self.published.ready.borrow() {
+        self.detect_pause();
+        let interval = if *self.published.ready.borrow() {
             self.arguments.settings.poll_interval
         } else {
-            START_PAUSE
+            NOT_READY_INTERVAL
         };
-        self.published.polled.send_replace(Instant::now());
-        drop(myself.send_after(self.jittered(every), || TreeMessage::Poll));
+        self.published.last_poll.send_replace(Instant::now());
+        drop(myself.send_after(self.jittered(interval), || TreeMessage::Poll));
         self.read_table(myself);
     }
 
     fn read_table(&self, myself: &ActorRef<TreeMessage>) {
         self.arguments.counters.count("tree.poll");
         let (platform, version) = (self.arguments.platform.clone(), self.log.version());
-        let (myself, asked_at) = (myself.clone(), Instant::now());
+        let (myself, sent_at) = (myself.clone(), Instant::now());
         tokio::spawn(async move {
             let reply = read_from_table(&platform, version).await;
             let reply = reply.map_err(|error| error.to_string());
-            let _ = myself.cast(TreeMessage::Take(reply, Origin::Table, asked_at));
+            let _ = myself.cast(TreeMessage::Reply(reply, ReplySource::Table, sent_at));
         });
     }
 
-    /// Guards against a process that was paused: it would decide by a tree that may be minutes
-    /// old. A timer that is late by several periods shows the pause, and the process is not ready
-    /// again until it has an answer to a question asked since then.
-    fn doubt_after_pause(&mut self) {
-        let late = self.published.polled.borrow().elapsed();
-        if !self.arguments.settings.is_pause(late) {
+    /// Guards against a process that was paused: it would make decisions from a tree that may be
+    /// minutes old. A timer that is late by several intervals shows the pause, and the process is
+    /// not ready again until it has a reply to a request that was sent since then.
+    fn detect_pause(&mut self) {
+        let since_last_poll = self.published.last_poll.borrow().elapsed();
+        if !self.arguments.settings.is_pause(since_last_poll) {
             return;
         }
-        self.doubted_at = Instant::now();
+        self.valid_replies_from = Instant::now();
         if self.published.ready.send_replace(false) {
-            warn!("tree: paused for {} ms, asking again", late.as_millis());
+            warn!(
+                "tree: paused for {} ms, requesting the tree again",
+                since_last_poll.as_millis()
+            );
             self.arguments.counters.count("tree.paused");
         }
     }
 
     fn exchange(&mut self, myself: &ActorRef<TreeMessage>) {
-        let Some(every) = self.arguments.settings.exchange_interval else {
+        let Some(interval) = self.arguments.settings.exchange_interval else {
             return;
         };
-        let every = if *self.published.ready.borrow() {
-            every
+        let interval = if *self.published.ready.borrow() {
+            interval
         } else {
-            START_PAUSE
+            NOT_READY_INTERVAL
         };
-        drop(myself.send_after(self.jittered(every), || TreeMessage::Exchange));
+        drop(myself.send_after(self.jittered(interval), || TreeMessage::Exchange));
         if let Some(address) = self.random_peer() {
             self.arguments.counters.count("tree.exchange");
-            self.ask(myself, address);
+            self.request_from_peer(myself, address);
         }
     }
 
-    fn heard(&self, myself: &ActorRef<TreeMessage>, version: TreeVersion, address: SocketAddr) {
+    fn compare(&self, myself: &ActorRef<TreeMessage>, version: TreeVersion, address: SocketAddr) {
         if version > self.log.version() {
             self.arguments.counters.count("tree.heard_newer");
-            self.ask(myself, address);
+            self.request_from_peer(myself, address);
         }
     }
 
-    /// Looks at the table at once, or at a random peer while the table is away.
-    fn report_version(&mut self, myself: &ActorRef<TreeMessage>, version: TreeVersion) {
-        if version <= self.last_heard.max(self.log.version()) {
+    /// Polls the table at once, or a random peer while the table is unavailable.
+    fn on_version_reported(&mut self, myself: &ActorRef<TreeMessage>, version: TreeVersion) {
+        if version <= self.last_reported.max(self.log.version()) {
             return;
         }
-        // Every message of a busy entry carries the same news; one look is enough for it.
-        self.last_heard = version;
+        // Every message of a busy entry carries the same version; one request for it is enough.
+        self.last_reported = version;
         self.arguments.counters.count("tree.heard_newer");
         match self.random_peer() {
-            Some(address) if self.is_table_away => self.ask(myself, address),
+            Some(address) if self.is_table_unavailable => self.request_from_peer(myself, address),
             _ => self.read_table(myself),
         }
     }
 
-    fn ask(&self, myself: &ActorRef<TreeMessage>, address: SocketAddr) {
+    fn request_from_peer(&self, myself: &ActorRef<TreeMessage>, address: SocketAddr) {
         let peers = Arc::clone(&self.arguments.peers);
         let (host, version) = (self.arguments.host.clone(), self.log.version());
-        let (myself, asked_at) = (myself.clone(), Instant::now());
+        let (myself, sent_at) = (myself.clone(), Instant::now());
         tokio::spawn(async move {
             let reply = read_from_peer(&peers, address, &host, version).await;
             let reply = reply.map_err(|error| error.to_string());
-            let _ = myself.cast(TreeMessage::Take(reply, Origin::Peer, asked_at));
+            let _ = myself.cast(TreeMessage::Reply(reply, ReplySource::Peer, sent_at));
         });
     }
 
-    fn answered(&mut self, reply: Result<TreeReply, String>, origin: Origin, asked_at: Instant) {
+    fn on_reply(
+        &mut self,
+        reply: Result<TreeReply, String>,
+        source: ReplySource,
+        sent_at: Instant,
+    ) {
         let reply = match reply {
             Ok(reply) => reply,
-            Err(error) => return self.unanswered(&error, origin),
+            Err(error) => return self.on_no_reply(&error, source),
         };
-        if origin == Origin::Table {
-            self.is_table_away = false;
+        if source == ReplySource::Table {
+            self.is_table_unavailable = false;
         }
-        let is_authority = self.is_authority(&reply, origin);
-        let is_taken = self.take(reply);
-        // An answer from before a pause says nothing on what came during it.
-        if is_taken && is_authority && asked_at >= self.doubted_at {
+        let is_authoritative = self.is_authoritative(&reply, source);
+        let is_applied = self.apply(reply);
+        // A reply to a request from before a pause may lack versions from during it.
+        if is_applied && is_authoritative && sent_at >= self.valid_replies_from {
             self.published.ready.send_replace(true);
         }
     }
 
     /// Whether a reply may make the process ready.
     ///
-    /// A peer may be some seconds behind the table, so its word counts only while the table is
-    /// away; and a peer that has no tree itself says nothing on whether there is one.
-    fn is_authority(&self, reply: &TreeReply, origin: Origin) -> bool {
-        match origin {
-            Origin::Table => true,
-            Origin::Peer => {
+    /// A peer may be some seconds behind the table, so its reply counts only while the table is
+    /// unavailable; and a peer without a tree does not show that there is none.
+    fn is_authoritative(&self, reply: &TreeReply, source: ReplySource) -> bool {
+        match source {
+            ReplySource::Table => true,
+            ReplySource::Peer => {
                 let is_without_tree = *reply == TreeReply::UpToDate(TreeVersion::default());
-                self.is_table_away && !is_without_tree
+                self.is_table_unavailable && !is_without_tree
             }
         }
     }
 
-    /// Takes a reply in; false if it cannot be used.
-    fn take(&mut self, reply: TreeReply) -> bool {
+    /// Applies a reply; false if it cannot be used.
+    fn apply(&mut self, reply: TreeReply) -> bool {
         match self.log.apply_reply(reply) {
             Ok(TreeUpdate::Updated { from, to }) => {
                 info!("tree: version {to} is in force, after {from}");
@@ -325,7 +333,7 @@
             }
             Ok(TreeUpdate::Unchanged) => {}
             Err(error) => {
-                warn!("tree: a reply was not taken: {error}");
+                warn!("tree: reply not applied: {error}");
                 self.arguments.counters.count("tree.not_taken");
                 return false;
             }
@@ -333,10 +341,10 @@
         true
     }
 
-    fn unanswered(&mut self, error: &str, origin: Origin) {
-        match origin {
-            Origin::Table if !self.is_table_away => {
-                self.is_table_away = true;
+    fn on_no_reply(&mut self, error: &str, source: ReplySource) {
+        match source {
+            ReplySource::Table if !self.is_table_unavailable => {
+                self.is_table_unavailable = true;
                 warn!("tree: the table does not answer: {error}");
             }
             _ => debug!("tree: no answer: {error}"),
@@ -344,11 +352,11 @@
         self.arguments.counters.count("tree.unanswered");
     }
 
-    fn accepted(&mut self, record: EditRecord) {
+    fn on_edit_accepted(&mut self, record: EditRecord) {
         match self.log.apply_record(record) {
             Ok(_) => self.publish(),
-            // The poll reads the same edit again.
-            Err(error) => warn!("tree: the own edit was not taken: {error}"),
+            // The next poll reads the same edit again.
+            Err(error) => warn!("tree: own edit not applied: {error}"),
         }
     }
 
@@ -376,7 +384,7 @@
     }
 
     /// Spreads the polls of processes that started together.
-    fn jittered(&mut self, every: Duration) -> Duration {
-        every.mul_f64(self.random.random_range(0.75..1.0))
+    fn jittered(&mut self, interval: Duration) -> Duration {
+        interval.mul_f64(self.random.random_range(0.75..1.0))
     }
 }
--- a/crates/amaranthscale/src/version/tree_sync_handle.rs
+++ b/crates/amaranthscale/src/version/tree_sync_handle.rs
@@ -1,4 +1,4 @@
-//! What the rest of a process asks its tree keeper.
+//! The handle to the actor that synchronises a process's settings tree.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,18 +20,18 @@
 
 use super::tree_client::{offer_to_peer, read_from_table};
 use super::{
-    EditProposal, EditResult, Origin, PublishedTree, TreeMessage, TreeStatus, TreeSync,
+    EditProposal, EditResult, PublishedTree, ReplySource, TreeMessage, TreeStatus, TreeSync,
     TreeSyncArguments,
 };
 use crate::process::{ControlKind, TableWrite, new_write_id};
 
-/// Peers that are handed an edit before it is called accepted, so that it outlives the death of
+/// Peers that are sent an edit before it is reported as accepted, so that it survives the death of
 /// this process together with an outage of the table.
 const PEERS_OFFERED: usize = 2;
 /// Longest wait for the table to settle an edit.
-const EDIT_PATIENCE: Duration = Duration::from_secs(8);
+const EDIT_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Asks the keeper, and makes edits.
+/// Queries the actor, and makes edits.
 #[derive(Debug, Clone)]
 pub struct TreeSyncHandle {
     actor: ActorRef<TreeMessage>,
@@ -39,11 +39,11 @@
     in_force: watch::Receiver<Arc<CompiledTree>>,
     log: watch::Receiver<Arc<TreeLog>>,
     ready: watch::Receiver<bool>,
-    polled: watch::Receiver<Instant>,
+    last_poll: watch::Receiver<Instant>,
 }
 
 impl TreeSyncHandle {
-    /// Starts a keeper.
+    /// Starts the actor.
     pub async fn start(arguments: TreeSyncArguments) -> Result<Self, SpawnErr> {
         let log = TreeLog::new(SettingsTree::empty());
         let log = log.map_err(|error| SpawnErr::StartupFailed(Box::new(error)))?;
@@ -51,7 +51,7 @@
         let in_force = published.in_force.subscribe();
         let log = published.log.subscribe();
         let ready = published.ready.subscribe();
-        let polled = published.polled.subscribe();
+        let last_poll = published.last_poll.subscribe();
         let (actor, _joined) = Actor::spawn(None, TreeSync, (arguments.clone(), published)).await?;
         Ok(Self {
             actor,
@@ -59,58 +59,58 @@
             in_force,
             log,
             ready,
-            polled,
+            last_poll,
         })
     }
 
-    /// The tree in force, which changes as newer versions come.
+    /// The tree in force, as a channel of its changes.
     #[must_use]
     pub fn in_force(&self) -> watch::Receiver<Arc<CompiledTree>> {
         self.in_force.clone()
     }
 
-    /// Whether the process has learned a version that it may decide by.
+    /// Whether the process has a version that it may make decisions from.
     ///
-    /// Guards against a process that was paused and reads a request before its keeper has noticed:
-    /// a keeper that has not looked for long shows the pause to whoever asks first.
+    /// Guards against a process that was paused and handles a request before the actor has noticed:
+    /// the time since the last poll shows the pause.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        let unseen = self.polled.borrow().elapsed();
-        *self.ready.borrow() && !self.arguments.settings.is_pause(unseen)
+        let since_last_poll = self.last_poll.borrow().elapsed();
+        *self.ready.borrow() && !self.arguments.settings.is_pause(since_last_poll)
     }
 
-    /// Whether the process may decide by its tree, as it changes.
+    /// Whether the process may make decisions from its tree, as a channel of its changes.
     #[must_use]
     pub fn readiness(&self) -> watch::Receiver<bool> {
         self.ready.clone()
     }
 
-    /// Waits until the process has learned a version.
+    /// Waits until the process has a version that it may make decisions from.
     pub async fn ready(&mut self) {
-        // The keeper is gone only when the process stops.
+        // The actor ends only when the process stops.
         let _ = self.ready.wait_for(|is_ready| *is_ready).await;
     }
 
-    /// Tells of a version that a message carried.
+    /// Reports the version of a peer whose address is known.
     pub fn report_peer_version(&self, version: TreeVersion, address: SocketAddr) {
         if version > self.in_force.borrow().version() {
-            let _ = self.actor.cast(TreeMessage::Heard(version, address));
+            let _ = self.actor.cast(TreeMessage::PeerVersion(version, address));
         }
     }
 
-    /// Takes edits that a peer offers.
+    /// Applies edits that a peer offers.
     pub fn apply_offer(&self, offer: TreeReply) {
-        let _ = self.actor.cast(TreeMessage::Offered(offer));
+        let _ = self.actor.cast(TreeMessage::Offer(offer));
     }
 
-    /// Tells of a version that some process showed.
+    /// Reports the version of some process whose address is not known.
     pub fn report_version(&self, version: TreeVersion) {
         if version > self.in_force.borrow().version() {
-            let _ = self.actor.cast(TreeMessage::HeardOf(version));
+            let _ = self.actor.cast(TreeMessage::VersionReported(version));
         }
     }
 
-    /// Answers a peer that has a version.
+    /// The reply to a peer that has a version.
     #[must_use]
     pub fn since(&self, version: TreeVersion) -> TreeReply {
         self.log.borrow().changes_since(version)
@@ -118,10 +118,10 @@
 
     /// State of the tree in this process.
     pub async fn status(&self) -> Option<TreeStatus> {
-        self.ask(TreeMessage::Status).await
+        self.call(TreeMessage::Status).await
     }
 
-    /// Stops the keeper.
+    /// Stops the actor.
     pub fn stop(&self) {
         self.actor.stop(None);
     }
@@ -132,7 +132,8 @@
         self.log.borrow().edits_after(version).cloned().collect()
     }
 
-    /// Makes an edit: checked whole, written once, handed to peers, then in force here.
+    /// Makes an edit: checks the whole tree, writes the edit once, offers it to peers and applies
+    /// it.
     pub async fn edit(&self, proposal: EditProposal) -> EditResult {
         let Some(log) = self.refreshed_log().await else {
             return EditResult::Refused(ResultCode::TableAway);
@@ -159,32 +160,32 @@
 
     async fn write(&self, record: EditRecord, tree: &SettingsTree) -> EditResult {
         let mut write = TableWrite::new(edit_write(&record, tree));
-        let until = Instant::now() + EDIT_PATIENCE;
+        let deadline = Instant::now() + EDIT_TIMEOUT;
         let platform = self.arguments.platform.with_kind(ControlKind::Edit);
-        match write.settle_until(&platform, until).await {
+        match write.settle_until(&platform, deadline).await {
             Some(WriteStep::Won { .. } | WriteStep::Superseded { .. }) => {
                 self.accepted(record).await
             }
             Some(WriteStep::LostTo { .. } | WriteStep::Undecided { .. }) => {
-                self.overtaken(record).await
+                self.resolve_conflict(record).await
             }
             _unsettled if write.may_take_effect() => EditResult::Unknown,
-            _never_taken => EditResult::Refused(ResultCode::TableAway),
+            _no_effect => EditResult::Refused(ResultCode::TableAway),
         }
     }
 
     async fn accepted(&self, record: EditRecord) -> EditResult {
         let version = record.version;
-        self.hand_to_peers(&record).await;
+        self.offer_to_peers(&record).await;
         let _ = self
-            .ask(|reply| TreeMessage::Accepted(Box::new(record), reply))
+            .call(|reply| TreeMessage::Accepted(Box::new(record), reply))
             .await;
         EditResult::Accepted(version)
     }
 
-    /// Another edit stands in the head row; the row of the edit itself tells whether ours went
-    /// before it.
-    async fn overtaken(&self, record: EditRecord) -> EditResult {
+    /// The head row has another edit; the row of the edit's own version shows whether this edit was
+    /// written before it.
+    async fn resolve_conflict(&self, record: EditRecord) -> EditResult {
         let Some(log) = self.refreshed_log().await else {
             return EditResult::Unknown;
         };
@@ -199,19 +200,19 @@
         EditResult::Conflict(log.version(), others)
     }
 
-    /// The log after a look at the table; none if the table does not answer.
+    /// The log after a poll of the table; none if the table does not answer.
     async fn refreshed_log(&self) -> Option<Arc<TreeLog>> {
         loop {
             let log = Arc::clone(&self.log.borrow());
-            let asked_at = Instant::now();
+            let sent_at = Instant::now();
             let platform = self.arguments.platform.with_kind(ControlKind::Edit);
             let reply = read_from_table(&platform, log.version()).await.ok()?;
             if matches!(reply, TreeReply::UpToDate(_)) {
                 return Some(log);
             }
-            let take = TreeMessage::Take(Ok(reply), Origin::Table, asked_at);
-            self.actor.cast(take).ok()?;
-            // Answered after the reply was taken.
+            let message = TreeMessage::Reply(Ok(reply), ReplySource::Table, sent_at);
+            self.actor.cast(message).ok()?;
+            // Answered after the reply was applied.
             let status = self.status().await?;
             if status.version == log.version() {
                 return None;
@@ -219,7 +220,7 @@
         }
     }
 
-    async fn hand_to_peers(&self, record: &EditRecord) {
+    async fn offer_to_peers(&self, record: &EditRecord) {
         let after = TreeVersion::new(record.version.get() - 1);
         let offer = TreeReply::Edits {
             after,
@@ -230,12 +231,12 @@
         for _ in 0..PEERS_OFFERED.min(addresses.len()) {
             let address = addresses.swap_remove(random.random_range(0..addresses.len()));
             if let Err(error) = offer_to_peer(&self.arguments.peers, address, &offer).await {
-                debug!("tree: an edit was not handed on: {error}");
+                debug!("tree: edit not offered to a peer: {error}");
             }
         }
     }
 
-    async fn ask<T: Send + 'static>(
+    async fn call<T: Send + 'static>(
         &self,
         message: impl FnOnce(RpcReplyPort<T>) -> TreeMessage,
     ) -> Option<T> {
@@ -246,7 +247,7 @@
     }
 }
 
-/// Writes head and edit together, so that a version never stands without its edit.
+/// Writes head and edit together, so that no version exists without its edit.
 ///
 /// The head row is written by edits only, so its row version is the tree's version.
 fn edit_write(record: &EditRecord, tree: &SettingsTree) -> ConditionalWrite {
--- a/crates/amaranthscale/tests/exchange_peers.rs
+++ b/crates/amaranthscale/tests/exchange_peers.rs
@@ -25,9 +25,9 @@
 }
 
 /// An entry among a thousand processes compared its tree with a random one of all each time. After
-/// some hours it held a connection to every process, and every process one to it.
+/// some hours it had a connection to every process, and every process one to it.
 #[test]
-fn peers_are_few_and_none_is_the_host_itself() {
+fn peers_are_bounded_and_exclude_the_host_itself() {
     // Arrange
     let hosts = hosts();
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_host_that_goes_moves_one_peer_at_most() {
+fn removing_a_host_changes_at_most_one_peer() {
     // Arrange
     let hosts = hosts();
     let before: BTreeSet<_> = exchange_peers(&hosts[0].host, &hosts).into_iter().collect();
@@ -55,23 +55,23 @@
     assert!(before.difference(&after).count() <= 1);
 }
 
-/// A table that goes down right after an edit leaves its spread to the peers alone; a process that
-/// no chain of peers leads to would go by the old tree until the table is back.
+/// The table goes down right after an edit, so that only peers can spread it. A process that no
+/// chain of peers reaches would use the old tree until the table is back.
 #[test]
-fn an_edit_reaches_every_host_by_peers_alone() {
-    // Arrange: who asks whom.
+fn an_edit_reaches_every_host_through_peers_alone() {
+    // Arrange: the peers of each host.
     let hosts = hosts();
-    let asked: Vec<Vec<SocketAddr>> = hosts
+    let peers_of: Vec<Vec<SocketAddr>> = hosts
         .iter()
         .map(|record| exchange_peers(&record.host, &hosts))
         .collect();
     let mut has_edit = BTreeSet::from([hosts[0].address]);
 
-    // Act: in each round, whoever has a peer with the edit takes it.
+    // Act: in each round, every host that has a peer with the edit applies it.
     let mut rounds = 0;
     while has_edit.len() < hosts.len() && rounds < 10 {
         let known = has_edit.clone();
-        let pulls = hosts.iter().zip(&asked);
+        let pulls = hosts.iter().zip(&peers_of);
         let new = pulls.filter(|(_, peers)| peers.iter().any(|peer| known.contains(peer)));
         has_edit.extend(new.map(|(record, _)| record.address));
         rounds += 1;
