--- a/crates/amaranthscale/src/connection.rs
+++ b/crates/amaranthscale/src/connection.rs
@@ -1,4 +1,4 @@
-//! What lives as long as a connection: servers, clients, and the frames between them.
+//! State that lives as long as a connection: servers, clients, and the frames between them.
 
 mod body;
 mod frame_reader;
--- a/crates/amaranthscale/src/connection/body.rs
+++ b/crates/amaranthscale/src/connection/body.rs
@@ -22,16 +22,16 @@
         TooLarge(max_bytes: usize) {
             display("the body has more than {max_bytes} bytes")
         }
-        /// The sender stopped sending.
+        /// The body did not arrive in time.
         TimedOut(waited: Duration, received_bytes: usize) {
             display(
-                "the body did not arrive within {} ms: {received_bytes} bytes came",
+                "the body did not arrive within {} ms: {received_bytes} bytes arrived",
                 waited.as_millis()
             )
         }
         /// The connection broke.
         Broken(reason: String) {
-            display("the body broke off: {reason}")
+            display("the connection broke before the end of the body: {reason}")
         }
     }
 }
@@ -42,62 +42,62 @@
     Empty::new().boxed_unsync()
 }
 
-/// A body that is known whole.
+/// A body whose whole content is known.
 pub fn full_body(content: impl Into<Bytes>) -> ResponseBody {
     Full::new(content.into()).boxed_unsync()
 }
 
-/// Reads a body whole, within a size and a time.
+/// Reads a whole body, up to a size and within a time.
 pub async fn read_body<B>(
     body: B,
     max_bytes: usize,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<Bytes, ReadBodyError>
 where
     B: Body<Data = Bytes>,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    check_told_length(&body, max_bytes)?;
+    check_declared_length(&body, max_bytes)?;
     let mut body = pin!(Limited::new(body, max_bytes));
     let mut received = Received::default();
-    let whole = async {
+    let reading = async {
         while let Some(part) = next_part(&mut body, max_bytes).await? {
             received.parts.push(part);
         }
         Ok(())
     };
-    match tokio::time::timeout(patience, whole).await {
+    match tokio::time::timeout(timeout, reading).await {
         Ok(read) => read.map(|()| received.whole()),
-        Err(_elapsed) => Err(ReadBodyError::TimedOut(patience, received.bytes())),
+        Err(_elapsed) => Err(ReadBodyError::TimedOut(timeout, received.bytes())),
     }
 }
 
-/// Reads a body whole, within a size, for as long as more of it arrives.
+/// Reads a whole body, up to a size, as long as more of it keeps arriving.
 ///
-/// For bodies whose size has no small bound: a time for the whole of it would cut off what a slow link
-/// still carries, and what begins it anew would be cut off again.
+/// For bodies whose size has no small bound: a timeout for the whole body would abort a transfer
+/// that a slow link still carries, and the restarted transfer would be aborted again.
 pub async fn read_body_with_idle_timeout<B>(
     body: B,
     max_bytes: usize,
-    silence: Duration,
+    idle_timeout: Duration,
 ) -> Result<Bytes, ReadBodyError>
 where
     B: Body<Data = Bytes>,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    check_told_length(&body, max_bytes)?;
+    check_declared_length(&body, max_bytes)?;
     let mut body = pin!(Limited::new(body, max_bytes));
     let mut received = Received::default();
     loop {
-        let part = tokio::time::timeout(silence, next_part(&mut body, max_bytes)).await;
-        match part.map_err(|_elapsed| ReadBodyError::TimedOut(silence, received.bytes()))?? {
+        let part = tokio::time::timeout(idle_timeout, next_part(&mut body, max_bytes)).await;
+        match part.map_err(|_elapsed| ReadBodyError::TimedOut(idle_timeout, received.bytes()))?? {
             Some(part) => received.parts.push(part),
             None => return Ok(received.whole()),
         }
     }
 }
 
-/// Content of a body that has come.
+/// Content of a body that has arrived so far.
 #[derive(Debug, Default)]
 struct Received {
     parts: Vec<Bytes>,
@@ -108,7 +108,7 @@
         self.parts.iter().map(Bytes::len).sum()
     }
 
-    /// All of it; most bodies come in one part, which is not copied.
+    /// The whole content; most bodies arrive in one part, which is not copied.
     fn whole(mut self) -> Bytes {
         match self.parts.len() {
             1 => self.parts.swap_remove(0),
@@ -117,10 +117,10 @@
     }
 }
 
-/// Refuses a body whose head tells that it is too large, before it is transferred.
-fn check_told_length(body: &impl Body, max_bytes: usize) -> Result<(), ReadBodyError> {
-    let told = body.size_hint().lower();
-    if usize::try_from(told).is_ok_and(|told| told <= max_bytes) {
+/// Rejects a body whose declared length is too large, before it is transferred.
+fn check_declared_length(body: &impl Body, max_bytes: usize) -> Result<(), ReadBodyError> {
+    let declared = body.size_hint().lower();
+    if usize::try_from(declared).is_ok_and(|declared| declared <= max_bytes) {
         Ok(())
     } else {
         Err(ReadBodyError::TooLarge(max_bytes))
--- a/crates/amaranthscale/src/connection/frame_reader.rs
+++ b/crates/amaranthscale/src/connection/frame_reader.rs
@@ -1,4 +1,4 @@
-//! Frames of an attempt's answer, each behind its length.
+//! Frames of an attempt's answer, each prefixed with its length.
 
 use amaranthscale_core::wire::{self, Frame};
 use bytes::{Bytes, BytesMut};
@@ -14,24 +14,24 @@
     /// An answer that cannot be read to its end.
     #[derive(Debug)]
     pub enum FrameError {
-        /// The connection broke or went silent.
+        /// The connection broke or timed out.
         Broken(cause: hyper::Error) {
             display("the connection broke: {cause}")
             source(cause)
             from()
         }
-        /// The bytes form no frame.
+        /// The bytes are not a valid frame.
         Malformed(reason: String) {
             display("the frame cannot be read: {reason}")
         }
-        /// The answer stopped without its end.
+        /// The answer stopped before its end.
         Truncated {
             display("the answer stopped before its end")
         }
     }
 }
 
-/// Encodes a frame behind its length.
+/// Encodes a frame, prefixed with its length.
 ///
 /// # Panics
 ///
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The next frame; an answer without its end is an error.
+    /// Reads the next frame; an answer that stops before its end is an error.
     pub async fn next(&mut self) -> Result<Frame, FrameError> {
         loop {
             let decoded = self.codec.decode(&mut self.received);
--- a/crates/amaranthscale/src/connection/http1_client.rs
+++ b/crates/amaranthscale/src/connection/http1_client.rs
@@ -1,7 +1,7 @@
-//! One HTTP/1.1 connection to a server of others.
+//! One HTTP/1.1 connection to a server that is not part of the system.
 //!
-//! The HTTP library repeats nothing here: whether a request may be sent again is its sender's
-//! decision, so each failure says whether the request may have arrived.
+//! The HTTP library retries nothing here: whether a request may be sent again is its sender's
+//! decision, so each error shows whether the request may have arrived.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,7 +21,7 @@
     /// A request that got no response.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum SendError {
-        /// It never left.
+        /// It was not sent.
         NotSent(address: SocketAddr, reason: String) {
             display("{address} was not reached: {reason}")
         }
@@ -41,9 +41,9 @@
 
 impl Http1Connection {
     /// Opens a connection within a time.
-    pub async fn open(address: SocketAddr, patience: Duration) -> Result<Self, SendError> {
+    pub async fn open(address: SocketAddr, timeout: Duration) -> Result<Self, SendError> {
         let not_sent = |reason: String| SendError::NotSent(address, reason);
-        let stream = open_stream(address, patience).await.map_err(not_sent)?;
+        let stream = open_stream(address, timeout).await.map_err(not_sent)?;
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|error| not_sent(error.to_string()))?;
         tokio::spawn(async move {
@@ -60,7 +60,7 @@
         self.sender.is_ready()
     }
 
-    /// Says why nothing more can be sent, if it has ended.
+    /// Returns an error if the connection has ended, so that nothing more can be sent.
     pub fn check_open(&self) -> Result<(), SendError> {
         if self.sender.is_closed() {
             let reason = "the connection has ended".to_owned();
--- a/crates/amaranthscale/src/connection/http_server.rs
+++ b/crates/amaranthscale/src/connection/http_server.rs
@@ -68,8 +68,8 @@
         Self::start_on(listener, move || limits, handle)
     }
 
-    /// As [`Self::start`], on a listener that is bound already, with limits that each new
-    /// connection asks for.
+    /// Like [`Self::start`], on a listener that is already bound, with limits that are read for
+    /// each new connection.
     pub fn start_on<L, H, F, B>(listener: TcpListener, limits: L, handle: H) -> io::Result<Self>
     where
         L: Fn() -> HttpServerLimits + Send + 'static,
@@ -94,7 +94,7 @@
         self.address
     }
 
-    /// Accepts nothing more, lets open requests end, and says whether all did within the bound.
+    /// Stops accepting, lets open requests end, and returns whether all did within the bound.
     pub async fn stop(self, bound: Duration) -> bool {
         self.stop.send_replace(true);
         let Ok(connections) = self.accepting.await else {
--- a/crates/amaranthscale/src/connection/open_stream.rs
+++ b/crates/amaranthscale/src/connection/open_stream.rs
@@ -5,13 +5,13 @@
 
 use tokio::net::TcpStream;
 
-/// Opens a connection within a time, or says why there is none.
+/// Opens a connection within a time, or returns why it failed.
 pub(crate) async fn open_stream(
     address: SocketAddr,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<TcpStream, String> {
     let connecting = TcpStream::connect(address);
-    let stream = match tokio::time::timeout(patience, connecting).await {
+    let stream = match tokio::time::timeout(timeout, connecting).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) => return Err(error.to_string()),
         Err(_elapsed) => return Err("no connection in time".to_owned()),
--- a/crates/amaranthscale/src/connection/peer_client.rs
+++ b/crates/amaranthscale/src/connection/peer_client.rs
@@ -1,7 +1,7 @@
 //! Connections from this process to other processes of the system.
 //!
-//! One HTTP/2 connection a peer carries all requests to it. The client never repeats a request of
-//! its own accord: whether a request may be sent again is the caller's decision.
+//! One HTTP/2 connection per peer carries all requests to it. The client never retries a request by
+//! itself: whether a request may be sent again is the caller's decision.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,23 +27,23 @@
     /// A request to a peer that got no response.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum PeerError {
-        /// No connection came about, so the peer never saw the request.
+        /// No connection was established, so the peer never received the request.
         NotSent(address: SocketAddr, reason: String) {
             display("{address} was not reached: {reason}")
         }
-        /// The connection ended after the request may have been seen.
+        /// The connection ended after the request may have arrived.
         Lost(address: SocketAddr, reason: String) {
             display("the connection to {address} was lost: {reason}")
         }
-        /// The connection fell silent after the request may have been seen.
+        /// The connection timed out after the request may have arrived.
         TimedOut(address: SocketAddr) {
-            display("the connection to {address} fell silent")
+            display("the connection to {address} timed out")
         }
     }
 }
 
 impl PeerError {
-    /// Whether the peer may have seen the request.
+    /// Whether the peer may have received the request.
     #[must_use]
     pub const fn may_have_arrived(&self) -> bool {
         matches!(self, Self::Lost(..) | Self::TimedOut(..))
@@ -59,7 +59,8 @@
 pub struct PeerClientLimits {
     /// Longest wait for a connection.
     pub connect_timeout: Duration,
-    /// Longest silence of a connection with open streams; one ping is sent and missed in it.
+    /// Time in which a dead connection with open streams is detected; one ping is sent and missed
+    /// in it.
     pub dead_peer_timeout: Duration,
 }
 
@@ -90,7 +91,7 @@
         self.number
     }
 
-    /// Posts a body to a path of the peer; the response's body may go on for long.
+    /// Posts a body to a path of the peer; the response's body may be a long stream.
     pub async fn post(
         mut self,
         path: &str,
@@ -114,7 +115,7 @@
 #[derive(Debug, Default)]
 struct PeerSlot {
     open: Option<PeerConnection>,
-    failed: Option<(Instant, PeerError)>,
+    last_failure: Option<(Instant, PeerError)>,
 }
 
 /// Connects to other processes of the system.
@@ -145,7 +146,7 @@
         self
     }
 
-    /// Counts one request and its answer's body; callers know both, connections do not.
+    /// Counts one request and its answer's body; only callers know the sizes of both.
     pub fn count(&self, kind: ControlKind, sent_bytes: usize, received_bytes: usize) {
         self.traffic.count_message(kind);
         self.traffic.count_sent(kind, sent_bytes);
@@ -157,40 +158,40 @@
         self.connection_after(address, None).await
     }
 
-    /// A connection to a peer that is newer than one that went silent.
+    /// A connection to a peer that is newer than one that timed out.
     ///
-    /// Many requests may find the same connection silent at once; they share the new one, or the
+    /// Many requests may time out on the same connection at once; they share the new one, or the
     /// failure to open it.
     pub async fn connection_after(
         &self,
         address: SocketAddr,
-        silent: Option<ConnectionNumber>,
+        timed_out: Option<ConnectionNumber>,
     ) -> Result<PeerConnection, PeerError> {
-        let asked_at = Instant::now();
+        let requested_at = Instant::now();
         let slot = self.slot(address);
         let mut slot = slot.lock().await;
         let is_usable = |connection: &&PeerConnection| {
-            Some(connection.number) > silent && !connection.sender.is_closed()
+            Some(connection.number) > timed_out && !connection.sender.is_closed()
         };
         if let Some(connection) = slot.open.as_ref().filter(is_usable) {
             return Ok(connection.clone());
         }
         slot.open = None;
-        // Guards against a peer without power: each request that waits here would try for itself
-        // after the one before it, and the last of some dozen would wait for many seconds.
-        if let Some((failed_at, error)) = &slot.failed
-            && *failed_at >= asked_at
+        // Guards against a peer without power: each request that waits here would make its own
+        // attempt after the previous one, and the last of some dozen would wait for many seconds.
+        if let Some((failed_at, error)) = &slot.last_failure
+            && *failed_at >= requested_at
         {
             return Err(error.clone());
         }
         match self.connect(address).await {
             Ok(connection) => {
-                slot.failed = None;
+                slot.last_failure = None;
                 slot.open = Some(connection.clone());
                 Ok(connection)
             }
             Err(error) => {
-                slot.failed = Some((Instant::now(), error.clone()));
+                slot.last_failure = Some((Instant::now(), error.clone()));
                 Err(error)
             }
         }
@@ -206,18 +207,18 @@
         self.connection(address).await?.post(path, body).await
     }
 
-    /// Forgets the connections to peers that are gone.
+    /// Drops the connections to peers that are no longer known.
     ///
-    /// Guards against a process that keeps a place for every host that ever was: with 170 hosts
-    /// replaced a day it would grow by each of them.
+    /// Guards against a process that keeps a slot for every host that ever existed: with 170 hosts
+    /// replaced a day, it would grow by each of them.
     pub fn retain(&self, is_known: impl Fn(&SocketAddr) -> bool) {
         let mut slots = self.slots.lock().unwrap_or_else(PoisonError::into_inner);
         slots.retain(|address, _slot| is_known(address));
     }
 
-    /// Peers for which a connection is kept.
+    /// Number of peers that have a slot for a connection.
     #[must_use]
-    pub fn kept(&self) -> usize {
+    pub fn peer_count(&self) -> usize {
         self.slots
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -255,11 +256,11 @@
         })
     }
 
-    /// Pings go out only while streams are open, so idle pairs of processes cost nothing.
+    /// Pings are sent only while streams are open, so that idle connections cost nothing.
     ///
-    /// Guards against a connection that goes silent for good: requests on it would wait until
+    /// Guards against a connection that dies without being closed: requests on it would wait until
     /// their deadlines. A missed ping ends the connection and with it every open stream, so that
-    /// each request asks about its attempt on a new connection.
+    /// each request queries its attempt on a new connection.
     fn builder(&self) -> Builder<TokioExecutor> {
         let half = self.limits.dead_peer_timeout / 2;
         let mut builder = Builder::new(TokioExecutor::new());
--- a/crates/amaranthscale/src/connection/port_probe.rs
+++ b/crates/amaranthscale/src/connection/port_probe.rs
@@ -6,14 +6,14 @@
 
 use tokio::net::TcpStream;
 
-/// What a connection to an address finds.
+/// Result of a connection attempt to an address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PortState {
     /// A process listens.
     Open,
-    /// The host is there, and no process listens.
+    /// The host refuses the connection, as no process listens.
     Closed,
-    /// Nothing answers: the host may be down or cut off.
+    /// Nothing answers: the host may be down or unreachable.
     Unreachable,
 }
 
@@ -29,8 +29,8 @@
 }
 
 /// Opens a connection and closes it at once.
-pub(crate) async fn probe_port(address: SocketAddr, patience: Duration) -> PortState {
-    match tokio::time::timeout(patience, TcpStream::connect(address)).await {
+pub(crate) async fn probe_port(address: SocketAddr, timeout: Duration) -> PortState {
+    match tokio::time::timeout(timeout, TcpStream::connect(address)).await {
         Ok(Ok(_stream)) => PortState::Open,
         Ok(Err(error)) if is_refusal(error.kind()) => PortState::Closed,
         Ok(Err(_)) | Err(_) => PortState::Unreachable,
--- a/crates/amaranthscale/tests/caller_head.rs
+++ b/crates/amaranthscale/tests/caller_head.rs
@@ -1,4 +1,4 @@
-//! Callers' heads and bodies, however they are damaged.
+//! Callers' request heads and bodies, however malformed.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use quickcheck::{Arbitrary, Gen};
 
 const TREE: &str = include_str!("../../../examples/delta-basin/tree.json");
-/// Heads of one run.
+/// Number of random heads.
 const HEADS: u64 = 20_000;
 /// Bytes of the longest random value.
 const SIZE: usize = 40;
@@ -19,7 +19,7 @@
 const LIMITS: DeadlineLimits = DeadlineLimits {
     max: Duration::from_mins(1),
 };
-/// Values that a head is made of, besides random ones.
+/// Values that heads consist of, besides random ones.
 const PATHS: [&str; 5] = [
     "/v1/pipelines/beet-intake",
     "/v1/pipelines/",
@@ -57,22 +57,22 @@
         if !bool::arbitrary(random) {
             continue;
         }
-        let damaged = HeaderValue::from_bytes(&Vec::<u8>::arbitrary(random));
-        let whole = HeaderValue::from_static(value);
+        let malformed = HeaderValue::from_bytes(&Vec::<u8>::arbitrary(random));
+        let valid = HeaderValue::from_static(value);
         let value = if bool::arbitrary(random) {
-            whole
+            valid
         } else {
-            damaged.unwrap_or(whole)
+            malformed.unwrap_or(valid)
         };
         headers.append(HeaderName::from_static(name), value);
     }
     headers
 }
 
-/// A caller's library, or someone who looks for a way in, sends headers of any bytes. The entry
-/// answers each with a code; a panic would take the connection's other requests with it.
+/// A faulty client or an attacker sends headers with arbitrary bytes. The entry answers each
+/// request with a code; a panic would end the connection's other requests as well.
 #[test]
-fn any_head_is_read_or_refused_with_a_code_that_says_not_run() {
+fn any_head_is_parsed_or_refused_with_a_code_for_not_run() {
     let tree = tree();
     let (mut read, mut refused) = (0, 0);
 
--- a/crates/amaranthscale/tests/control_traffic.rs
+++ b/crates/amaranthscale/tests/control_traffic.rs
@@ -33,7 +33,7 @@
         .expect("a free port")
 }
 
-/// Two kinds under one name would hide which of them breaks a bound.
+/// Two kinds under one name would hide which of them exceeds a bound.
 #[test]
 fn each_kind_has_counters_of_its_own() {
     // Arrange
@@ -41,12 +41,12 @@
 
     // Act
     let all = names.iter();
-    let different: BTreeSet<_> = all
+    let distinct: BTreeSet<_> = all
         .flat_map(|names| [names.messages, names.bytes_out, names.bytes_in])
         .collect();
 
     // Assert
-    assert_eq!(different.len(), 3 * KINDS.len());
+    assert_eq!(distinct.len(), 3 * KINDS.len());
 }
 
 #[tokio::test]
--- a/crates/amaranthscale/tests/http_server.rs
+++ b/crates/amaranthscale/tests/http_server.rs
@@ -7,8 +7,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A caller, by mistake or on purpose, sends headers without end. An entry that read them all would
-/// run out of memory and take everybody's requests with it; the cause is a missing bound.
+/// A caller sends endless headers, by mistake or on purpose. Without a bound, an entry would read
+/// them all, run out of memory and fail all callers' requests.
 #[tokio::test]
 async fn headers_above_the_limit_are_refused() {
     // Arrange
--- a/crates/amaranthscale/tests/peer_client.rs
+++ b/crates/amaranthscale/tests/peer_client.rs
@@ -15,56 +15,61 @@
     started.expect("a free port")
 }
 
-/// Hosts are replaced all day. Without word of it, an entry would keep a place for every address
-/// that it ever called, and its memory would grow until it is restarted. The cause: a connection is
-/// found by its address, and nobody asks for the address of a host that is gone.
+/// Hosts are replaced all day. A connection is looked up by its address, and nothing looks up the
+/// address of a removed host: unless it is dropped, an entry keeps a slot for every address that it
+/// ever called, and its memory grows until it is restarted.
 #[tokio::test]
-async fn connections_to_hosts_that_are_gone_are_forgotten() {
+async fn connections_to_removed_hosts_are_dropped() {
     // Arrange
-    let (stays, goes) = (server().await, server().await);
+    let (remaining, removed) = (server().await, server().await);
     let client = PeerClient::new(PeerClientLimits::default());
-    for peer in [&stays, &goes] {
+    for peer in [&remaining, &removed] {
         client.post(peer.address(), "/healthz", "").await.unwrap();
     }
 
     // Act
-    client.retain(|address| *address == stays.address());
+    client.retain(|address| *address == remaining.address());
 
     // Assert
-    assert_eq!(client.kept(), 1);
-    assert!(client.post(stays.address(), "/healthz", "").await.is_ok());
+    assert_eq!(client.peer_count(), 1);
+    assert!(
+        client
+            .post(remaining.address(), "/healthz", "")
+            .await
+            .is_ok()
+    );
 }
 
-/// Many requests find the same connection silent at once. They share one new connection in place of
-/// opening one each, and a request that comes later takes it too.
+/// Many requests time out on the same connection at once. They share one new connection instead of
+/// opening one each, and a later request uses it too.
 #[tokio::test]
 async fn requests_that_lost_a_connection_share_the_new_one() {
     // Arrange
     let peer = server().await;
     let client = PeerClient::new(PeerClientLimits::default());
-    let silent = client.connection(peer.address()).await.unwrap().number();
+    let timed_out = client.connection(peer.address()).await.unwrap().number();
 
     // Act
     let after = client
-        .connection_after(peer.address(), Some(silent))
+        .connection_after(peer.address(), Some(timed_out))
         .await
         .unwrap();
     let also_after = client
-        .connection_after(peer.address(), Some(silent))
+        .connection_after(peer.address(), Some(timed_out))
         .await
         .unwrap();
     let later = client.connection(peer.address()).await.unwrap();
 
     // Assert
-    assert!(after.number() > silent);
+    assert!(after.number() > timed_out);
     assert_eq!(also_after.number(), after.number());
     assert_eq!(later.number(), after.number());
 }
 
-/// A caller asks a host that is gone: the answer says that nothing was sent, so another host may be
-/// asked without doubt.
+/// A request is sent to a host that is gone: the error shows that it did not arrive, so that it may
+/// safely be sent to another host.
 #[tokio::test]
-async fn a_peer_that_is_not_there_has_not_seen_the_request() {
+async fn a_request_to_an_absent_peer_has_not_arrived() {
     let nobody = SocketAddr::from(([127, 0, 0, 1], 1));
     let client = PeerClient::new(PeerClientLimits::default());
 
@@ -73,8 +78,8 @@
     assert!(!error.may_have_arrived(), "{error}");
 }
 
-/// A peer loses power, and many requests to it wait for one connection attempt. Each tried for itself
-/// after the one before it, so that the last of twenty waited eight seconds for a peer that was gone.
+/// A peer loses power, and many requests to it wait for one connection attempt. Each made its own
+/// attempt after the previous one, so that the last of twenty waited eight seconds in vain.
 #[tokio::test(start_paused = true)]
 async fn requests_that_wait_for_one_attempt_share_its_failure() {
     // Arrange
@@ -96,7 +101,7 @@
     assert!(started.elapsed() < limits.connect_timeout * 2);
 }
 
-/// A listener whose queue is full, so that the system answers no further connection.
+/// A listener whose queue is full, so that the operating system accepts no further connection.
 fn address_that_never_answers() -> (SocketAddr, Vec<std::net::TcpStream>) {
     let listener = tokio::net::TcpSocket::new_v4().expect("a listener");
     listener
@@ -108,10 +113,10 @@
         .into_std()
         .expect("a listener");
     let address = listener.local_addr().expect("a listener");
-    let patience = std::time::Duration::from_millis(100);
-    let connect = || std::net::TcpStream::connect_timeout(&address, patience).ok();
+    let timeout = std::time::Duration::from_millis(100);
+    let connect = || std::net::TcpStream::connect_timeout(&address, timeout).ok();
     let full = std::iter::from_fn(connect).collect();
-    // Lives as long as the process: closed, it would refuse instead.
+    // Stays open as long as the process: a closed listener would refuse connections instead.
     std::mem::forget(listener);
     (address, full)
 }
