--- a/crates/amaranthscale/src/process.rs
+++ b/crates/amaranthscale/src/process.rs
@@ -1,4 +1,4 @@
-//! What lives as long as its process.
+//! State that lives as long as its process.
 
 pub mod settings;
 
@@ -17,7 +17,7 @@
 pub(crate) use millis::ms;
 
 #[doc(inline)]
-pub use bounded_log::{BoundedLines, start_bounded_logging};
+pub use bounded_log::{BoundedLogWriter, start_bounded_logging};
 #[doc(inline)]
 pub use control_kind::{ControlCounterNames, ControlKind};
 #[doc(inline)]
--- a/crates/amaranthscale/src/process/bounded_log.rs
+++ b/crates/amaranthscale/src/process/bounded_log.rs
@@ -1,8 +1,8 @@
-//! Structured log lines that never hold up the process.
+//! Structured log lines that never block the process.
 //!
-//! A reader of standard output that stalls would stall every request that logs. Lines go through a
-//! bounded queue to a thread of their own; what does not fit is dropped, counted, and the count is
-//! logged with the next line that fits.
+//! A stalled reader of standard output would stall every request that logs. Lines go through a
+//! bounded queue to a thread of their own; lines that do not fit are dropped and counted, and the
+//! count is logged with the next line that fits.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,21 +11,21 @@
 
 use log::LevelFilter;
 
-/// Lines that wait for the writer; some seconds of a busy process, about 1 MB.
-const QUEUED_LINES: usize = 4_096;
+/// Most lines that wait for the writer: some seconds of a busy process, about 1 MB.
+const MAX_QUEUED_LINES: usize = 4_096;
 
-/// Hands whole lines to a writer thread without waiting for it.
+/// Passes whole lines to a writer thread without waiting for it.
 #[derive(Debug)]
-pub struct BoundedLines {
+pub struct BoundedLogWriter {
     lines: SyncSender<Vec<u8>>,
     buffer: Vec<u8>,
     dropped: AtomicU64,
 }
 
-impl BoundedLines {
+impl BoundedLogWriter {
     /// Starts the thread that writes to an output.
     pub fn start(output: impl Write + Send + 'static) -> io::Result<Self> {
-        let (lines, queued) = sync_channel(QUEUED_LINES);
+        let (lines, queued) = sync_channel(MAX_QUEUED_LINES);
         std::thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || write_lines(&queued, output))?;
@@ -50,7 +50,7 @@
     }
 }
 
-impl Write for BoundedLines {
+impl Write for BoundedLogWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.buffer.extend_from_slice(bytes);
         while let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
@@ -68,14 +68,14 @@
 
 fn write_lines(queued: &Receiver<Vec<u8>>, mut output: impl Write) {
     while let Ok(line) = queued.recv() {
-        // Nobody reads: the lines are lost, and there is nowhere to say so.
+        // Without a reader the lines are lost, and there is nowhere to report it.
         let _ = output.write_all(&line).and_then(|()| output.flush());
     }
 }
 
 /// Starts structured logging to standard output through a bounded queue.
 ///
-/// A process without that thread logs as usual rather than not at all.
+/// If the writer thread cannot be started, the process logs to standard output directly.
 pub fn start_bounded_logging(level: LevelFilter) {
     let mut builder = env_logger::Builder::new();
     builder.filter_level(level).parse_default_env();
@@ -83,25 +83,25 @@
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         let at_ms = since_epoch.unwrap_or_default().as_millis();
         write!(out, "{at_ms} {} {}", record.level(), record.args())?;
-        let mut pairs = Pairs { out };
+        let mut key_values = KeyValueWriter { out };
         record
             .key_values()
-            .visit(&mut pairs)
+            .visit(&mut key_values)
             .map_err(io::Error::other)?;
         writeln!(out)
     });
-    match BoundedLines::start(io::stdout()) {
+    match BoundedLogWriter::start(io::stdout()) {
         Ok(lines) => builder.target(env_logger::Target::Pipe(Box::new(lines))),
         Err(_error) => builder.target(env_logger::Target::Stdout),
     };
     builder.init();
 }
 
-struct Pairs<'a, W: Write> {
+struct KeyValueWriter<'a, W: Write> {
     out: &'a mut W,
 }
 
-impl<'kvs, W: Write> log::kv::VisitSource<'kvs> for Pairs<'_, W> {
+impl<'kvs, W: Write> log::kv::VisitSource<'kvs> for KeyValueWriter<'_, W> {
     fn visit_pair(
         &mut self,
         key: log::kv::Key<'kvs>,
--- a/crates/amaranthscale/src/process/control_kind.rs
+++ b/crates/amaranthscale/src/process/control_kind.rs
@@ -1,27 +1,27 @@
-//! Kinds of messages that keep the system running, apart from the work itself.
+//! Kinds of control messages, which keep the system running, as opposed to the work itself.
 
 use std::fmt;
 
-/// What a message between processes, or to the platform, is for.
+/// Purpose of a message between processes or to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ControlKind {
-    /// A look at the settings tree in the table.
+    /// A poll of the settings tree in the table.
     TreePoll,
     /// A comparison of the settings tree with another process.
     TreeExchange,
     /// An edit of the settings tree, on its way to the table or to a peer.
     Edit,
-    /// A look at the host list.
+    /// A poll of the host list.
     HostList,
     /// First contact with a sidecar.
     Hello,
-    /// A read or write of a claim row, or of a result kept with it.
+    /// A read or write of a claim row, or of a result stored with it.
     Claim,
     /// A write of cost totals.
     CostWrite,
     /// A read or write of lease or placement, or a report of what an engine runs.
     Placement,
-    /// A question about an attempt, or its revocation.
+    /// A query of an attempt, or its revocation.
     Revoke,
     /// A fetch of an attempt's answer on a new connection.
     Fetch,
@@ -40,7 +40,7 @@
     pub bytes_in: &'static str,
 }
 
-/// Spells the names of one kind's counters.
+/// Builds the names of one kind's counters.
 macro_rules! counter_names {
     ($kind:literal) => {
         ControlCounterNames {
--- a/crates/amaranthscale/src/process/control_traffic.rs
+++ b/crates/amaranthscale/src/process/control_traffic.rs
@@ -1,12 +1,12 @@
-//! Counts messages of control and their bytes, by kind.
+//! Counts control messages and their bytes, by kind.
 
 use std::sync::Arc;
 
 use super::{ControlKind, Counters};
 
-/// Counts messages of control and their bytes, by kind; without counters it counts nothing.
+/// Counts control messages and their bytes, by kind; without counters it counts nothing.
 ///
-/// Bytes are those of paths and bodies. Headers and framing come on top.
+/// Bytes are those of paths and bodies, without headers and framing.
 #[derive(Debug, Clone, Default)]
 pub struct ControlTraffic {
     counters: Option<Arc<Counters>>,
--- a/crates/amaranthscale/src/process/counters.rs
+++ b/crates/amaranthscale/src/process/counters.rs
@@ -63,7 +63,7 @@
 
     /// Adds to a counter.
     pub fn add(&self, name: &str, amount: u64) {
-        // A lost metric is not worth an error: the totals below stay right.
+        // A lost metric is not worth an error: the totals below stay correct.
         let _ = self.statsd.count(name, amount);
         let mut totals = self.totals.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(total) = totals.get_mut(name) {
--- a/crates/amaranthscale/src/process/daemon_command.rs
+++ b/crates/amaranthscale/src/process/daemon_command.rs
@@ -51,15 +51,16 @@
         .args([config, listen, check, print_settings])
 }
 
-/// Reads the settings that a command line names, or ends the program as it asks.
+/// Reads the settings file that a command line names, or returns the exit status if the program is
+/// to end without running.
 pub fn read_settings<S, E: Display>(
     matches: &ArgMatches,
     parse: impl Fn(&str, &str) -> Result<S, E>,
-    printed: impl Fn() -> String,
+    settings_list: impl Fn() -> String,
 ) -> Result<S, ExitCode> {
     if matches.get_flag("print-settings") {
-        // A reader that closes its end early has what it wanted.
-        let _ = io::stdout().write_all(printed().as_bytes());
+        // The reader may close its end early.
+        let _ = io::stdout().write_all(settings_list().as_bytes());
         return Err(ExitCode::SUCCESS);
     }
     let settings = read_file(matches, parse).map_err(|error| {
@@ -72,13 +73,13 @@
     Ok(settings)
 }
 
-/// The address that takes the place of the settings file's.
+/// The address that overrides the settings file's.
 #[must_use]
 pub fn listen_override(matches: &ArgMatches) -> Option<SocketAddr> {
     matches.get_one("listen").copied()
 }
 
-/// Starts logging at a level; the environment's `RUST_LOG` goes before it.
+/// Starts logging at a level; the environment's `RUST_LOG` overrides it.
 pub fn start_logging(level: LevelFilter) {
     env_logger::Builder::new()
         .filter_level(level)
@@ -86,12 +87,12 @@
         .init();
 }
 
-/// Tells whoever started the daemon where it listens, as one line on standard output.
+/// Prints the address that the daemon listens at, as one line on standard output.
 pub fn print_listen_address(address: SocketAddr) -> io::Result<()> {
     print_line(format_args!("listening {address}"))
 }
 
-/// Tells at which address the system's other processes reach the daemon, as a second line.
+/// Prints the daemon's address for the system's other processes, as a second line.
 pub fn print_peer_address(address: SocketAddr) -> io::Result<()> {
     print_line(format_args!("peers {address}"))
 }
--- a/crates/amaranthscale/src/process/host_poll.rs
+++ b/crates/amaranthscale/src/process/host_poll.rs
@@ -1,4 +1,4 @@
-//! Reads the host list over and over.
+//! Polls the host list.
 
 use std::time::Duration;
 
@@ -7,30 +7,30 @@
 
 use super::PlatformClient;
 
-/// Polls the host list and hands each new version on; ends with its task.
+/// Polls the host list and passes each new version on; ends with its task.
 ///
-/// While the platform is away the last list stays in use.
+/// While the platform is unavailable, the last list stays in use.
 pub async fn poll_hosts(
     platform: PlatformClient,
-    every: Duration,
+    interval: Duration,
     on_change: impl Fn(HostList) + Send,
 ) {
     let mut version = None;
-    let mut is_away = false;
+    let mut is_unavailable = false;
     loop {
         match platform.hosts_after(version).await {
             Ok(Some(hosts)) => {
-                is_away = false;
+                is_unavailable = false;
                 version = Some(hosts.version);
                 on_change(hosts);
             }
-            Ok(None) => is_away = false,
-            Err(error) if !is_away => {
-                is_away = true;
+            Ok(None) => is_unavailable = false,
+            Err(error) if !is_unavailable => {
+                is_unavailable = true;
                 warn!("process: the host list cannot be read: {error}");
             }
-            Err(_still_away) => {}
+            Err(_still_unavailable) => {}
         }
-        tokio::time::sleep(every).await;
+        tokio::time::sleep(interval).await;
     }
 }
--- a/crates/amaranthscale/src/process/latencies.rs
+++ b/crates/amaranthscale/src/process/latencies.rs
@@ -1,4 +1,4 @@
-//! How long things took, by name, for the metrics address.
+//! Latencies by name, for the metrics address.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, PoisonError};
@@ -6,36 +6,36 @@
 
 use hdrhistogram::Histogram;
 
-/// Names that are kept: the parts of a request and two for each service; more would be a fault.
-const MOST_NAMES: usize = 128;
-/// Longest time that is told apart; deadlines are far below it.
-const LONGEST_MS: u64 = 120_000;
-/// Digits that are told apart: one hundredth is enough to see a shift, and takes some kilobytes.
-const DIGITS: u8 = 2;
-/// Parts of the times that are shown.
+/// Most names: the parts of a request and two for each service; more would be a fault.
+const MAX_NAMES: usize = 128;
+/// Longest latency that is distinguished; deadlines are far below it.
+const MAX_LATENCY_MS: u64 = 120_000;
+/// A resolution of one hundredth is enough to see a shift, and takes some kilobytes.
+const SIGNIFICANT_DIGITS: u8 = 2;
+/// Quantiles that are shown.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 1.0];
 
-/// Histograms of times by name.
+/// Histograms of latencies by name.
 #[derive(Debug, Default)]
 pub struct Latencies {
     by_name: Mutex<BTreeMap<String, Histogram<u64>>>,
 }
 
 impl Latencies {
-    /// Counts one time; a name beyond the bound is passed over.
-    pub fn record(&self, name: &str, took: Duration) {
-        let took_ms = u64::try_from(took.as_millis()).unwrap_or(LONGEST_MS);
+    /// Records one latency; a new name beyond the bound is ignored.
+    pub fn record(&self, name: &str, latency: Duration) {
+        let latency_ms = u64::try_from(latency.as_millis()).unwrap_or(MAX_LATENCY_MS);
         let mut by_name = self.by_name.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(histogram) = by_name.get_mut(name) {
-            histogram.saturating_record(took_ms);
+            histogram.saturating_record(latency_ms);
             return;
         }
-        if by_name.len() >= MOST_NAMES {
+        if by_name.len() >= MAX_NAMES {
             return;
         }
-        // The bounds above are valid ones, so a histogram always comes about.
-        if let Ok(mut histogram) = Histogram::new_with_max(LONGEST_MS, DIGITS) {
-            histogram.saturating_record(took_ms);
+        // The constants above are valid bounds, so creating a histogram never fails.
+        if let Ok(mut histogram) = Histogram::new_with_max(MAX_LATENCY_MS, SIGNIFICANT_DIGITS) {
+            histogram.saturating_record(latency_ms);
             by_name.insert(name.to_owned(), histogram);
         }
     }
--- a/crates/amaranthscale/src/process/platform_client.rs
+++ b/crates/amaranthscale/src/process/platform_client.rs
@@ -18,8 +18,9 @@
 
 /// Largest answer that the platform gives: a page of rows or one object.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
-/// Rate of the slowest link that is counted on, 1 Mbit/s: a snapshot that leaves more slowly is given up.
-const SLOWEST_BYTES_PER_S: f64 = 125_000.0;
+/// Rate of the slowest supported link, 1 Mbit/s: a snapshot that is uploaded more slowly is
+/// aborted.
+const MIN_UPLOAD_BYTES_PER_S: f64 = 125_000.0;
 
 quick_error! {
     /// A call to the platform that gave no usable answer.
@@ -29,7 +30,7 @@
         Refused(status: u16) {
             display("the platform refused the call with status {status}")
         }
-        /// No answer came; the call may have taken effect.
+        /// No answer arrived; the call may have taken effect.
         Lost(reason: String) {
             display("the platform's answer was lost: {reason}")
         }
@@ -43,7 +44,7 @@
 /// Bounds of calls to the platform.
 #[derive(Debug, Clone, Copy)]
 pub struct PlatformClientLimits {
-    /// Longest wait for the beginning of an answer, and for more of it once it comes.
+    /// Longest wait for the beginning of an answer, and for each further part of it.
     pub timeout: Duration,
 }
 
@@ -68,7 +69,7 @@
 impl PlatformClient {
     /// A client of the platform at an address.
     ///
-    /// The HTTP library's own repeats are off: a conditional write that is sent twice unseen
+    /// The HTTP library's own retries are off: a conditional write that is sent twice unnoticed
     /// would look like a lost race to the writer.
     #[must_use]
     pub fn new(address: SocketAddr, limits: PlatformClientLimits) -> Self {
@@ -94,7 +95,7 @@
         self
     }
 
-    /// The same client, whose calls are counted as of a kind; connections are shared.
+    /// The same client with its calls counted under another kind; connections are shared.
     #[must_use]
     pub fn with_kind(&self, kind: ControlKind) -> Self {
         Self {
@@ -139,7 +140,7 @@
 
     /// Reads the host list, if it has changed since a version.
     ///
-    /// A list of a thousand hosts is long; most polls find it as it was and carry nothing.
+    /// A list of a thousand hosts is long; most polls find it unchanged and transfer nothing.
     pub async fn hosts_after(
         &self,
         version: Option<u64>,
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Keeps an object.
+    /// Stores an object.
     pub async fn put_object(
         &self,
         key: &str,
@@ -197,7 +198,7 @@
         body: impl Into<Bytes>,
     ) -> Result<(StatusCode, Bytes), PlatformError> {
         let body = body.into();
-        let upload = upload_time(body.len());
+        let upload = max_upload_time(body.len());
         self.traffic.count_message(self.kind);
         self.traffic.count_sent(self.kind, path.len() + body.len());
         let request = Request::builder()
@@ -205,23 +206,23 @@
             .uri(format!("http://{}{path}", self.address))
             .body(Full::new(body))
             .map_err(|error| PlatformError::Malformed(error.to_string()))?;
-        let patience = self.limits.timeout;
-        let answering = tokio::time::timeout(patience + upload, self.http.request(request));
+        let timeout = self.limits.timeout;
+        let answering = tokio::time::timeout(timeout + upload, self.http.request(request));
         let response = answering.await;
         let response = response.map_err(|_elapsed| lost("no answer in time"))?;
         let response = response.map_err(lost)?;
         let status = response.status();
-        let body = read_body_with_idle_timeout(response.into_body(), MAX_ANSWER_BYTES, patience);
+        let body = read_body_with_idle_timeout(response.into_body(), MAX_ANSWER_BYTES, timeout);
         let body = body.await.map_err(lost)?;
         self.traffic.count_received(self.kind, body.len());
         Ok((status, body))
     }
 }
 
-/// Time that a body may take to leave, beside the patience with its answer.
-fn upload_time(bytes: usize) -> Duration {
+/// Time that the upload of a body may take, in addition to the timeout of its answer.
+fn max_upload_time(bytes: usize) -> Duration {
     let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
-    Duration::from_secs(1).mul_f64(f64::from(bytes) / SLOWEST_BYTES_PER_S)
+    Duration::from_secs(1).mul_f64(f64::from(bytes) / MIN_UPLOAD_BYTES_PER_S)
 }
 
 fn lost(reason: impl std::fmt::Display) -> PlatformError {
@@ -232,7 +233,7 @@
     serde_json::from_slice(answer).map_err(|error| PlatformError::Malformed(error.to_string()))
 }
 
-/// Encodes every byte that a query's value cannot hold as it is.
+/// Percent-encodes every byte that may not stand in a query's value.
 fn percent_encode(text: &str) -> String {
     use std::fmt::Write as _;
 
--- a/crates/amaranthscale/src/process/settings.rs
+++ b/crates/amaranthscale/src/process/settings.rs
@@ -1,10 +1,9 @@
 //! A process's own settings, read from INI text.
 //!
-//! Every key stands in one table per kind of process, with its default, unit and meaning. The
-//! reader, the checks, [`EntrySettings::print_settings`] and the page docs/SETTINGS.md all follow
-//! that table, so a key can neither be forgotten nor described in two ways.
+//! One table per kind of process contains every key with its default, unit and meaning. The parser,
+//! the checks, [`EntrySettings::print_settings`] and the page docs/SETTINGS.md all follow that
+//! table, so that no key is forgotten or described in two ways.
 
-mod accepts;
 mod engine_settings;
 mod entry_keys;
 mod entry_settings;
@@ -18,9 +17,8 @@
 mod sidecar_keys;
 mod sidecar_settings;
 mod tree_settings;
+mod value_kind;
 
-#[doc(inline)]
-pub use accepts::Accepts;
 #[doc(inline)]
 pub use engine_settings::EngineSettings;
 #[doc(inline)]
@@ -45,5 +43,7 @@
 pub use sidecar_settings::SidecarSettings;
 #[doc(inline)]
 pub use tree_settings::TreeSettings;
+#[doc(inline)]
+pub use value_kind::ValueKind;
 
 use settings_text::SettingsText;
--- a/crates/amaranthscale/src/process/settings/engine_settings.rs
+++ b/crates/amaranthscale/src/process/settings/engine_settings.rs
@@ -1,11 +1,11 @@
-//! What the backend server understands beside calls.
+//! Capabilities of the backend server beyond calls.
 
 use super::SettingsText;
 
-/// What the backend server understands beside calls.
+/// Capabilities of the backend server beyond calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineSettings {
-    /// Whether it is an engine that takes orders.
+    /// Whether it is an engine that accepts orders.
     pub has_orders: bool,
     /// Whether it refuses orders with an old fencing number.
     pub honours_fence: bool,
--- a/crates/amaranthscale/src/process/settings/entry_keys.rs
+++ b/crates/amaranthscale/src/process/settings/entry_keys.rs
@@ -1,18 +1,18 @@
 //! The keys of an entry's settings.
 
-use super::{Accepts, KeyDefault, KeySpec};
+use super::{KeyDefault, KeySpec, ValueKind};
 
-use Accepts::{Address, LogLevel, Name};
+use ValueKind::{Address, LogLevel, Name};
 
-/// An hour, the longest time that a setting can name.
+/// One hour, the longest time that a setting accepts.
 const HOUR_MS: u64 = 60 * 60 * 1000;
 
-pub(super) const fn number(least: u64, most: u64) -> Accepts {
-    Accepts::Number { least, most }
+pub(super) const fn number(min: u64, max: u64) -> ValueKind {
+    ValueKind::Number { min, max }
 }
 
-pub(super) const TIME: Accepts = number(1, HOUR_MS);
-pub(super) const PERCENT: Accepts = number(0, 100);
+pub(super) const TIME: ValueKind = number(1, HOUR_MS);
+pub(super) const PERCENT: ValueKind = number(0, 100);
 
 /// Every key of an entry.
 pub const ENTRY_KEYS: &[KeySpec] = &[
@@ -119,15 +119,15 @@
     KeySpec {
         section: "operator",
         name: "key_hash",
-        default: KeyDefault::Nothing,
-        accepts: Accepts::KeyHash,
+        default: KeyDefault::Unset,
+        value_kind: ValueKind::KeyHash,
         meaning: "hash of the operators' key; without it operators are refused",
     },
     KeySpec {
         section: "metrics",
         name: "statsd",
-        default: KeyDefault::Nothing,
-        accepts: Accepts::Address,
+        default: KeyDefault::Unset,
+        value_kind: ValueKind::Address,
         meaning: "address that counters are sent to as statsd; without it they stand in /status only",
     },
     KeySpec::optional(
--- a/crates/amaranthscale/src/process/settings/entry_settings.rs
+++ b/crates/amaranthscale/src/process/settings/entry_settings.rs
@@ -38,9 +38,9 @@
     pub peer_listen: SocketAddr,
     /// Address of the platform's HTTP.
     pub platform: SocketAddr,
-    /// What is taken from callers.
+    /// Limits on callers' requests.
     pub limits: LimitSettings,
-    /// How the entry keeps up with the settings tree.
+    /// Intervals of the settings tree's synchronisation.
     pub tree: TreeSettings,
     /// Budgets of retries and hedges.
     pub retry: RetrySettings,
@@ -57,7 +57,7 @@
 }
 
 impl EntrySettings {
-    /// Reads settings; the file's name stands in errors.
+    /// Parses settings; errors contain the file's name.
     pub fn parse(file_name: impl AsRef<str>, text: impl AsRef<str>) -> Result<Self, SettingsError> {
         let text = SettingsText::parse(file_name.as_ref(), text.as_ref(), ENTRY_KEYS)?;
         Ok(Self {
--- a/crates/amaranthscale/src/process/settings/key_spec.rs
+++ b/crates/amaranthscale/src/process/settings/key_spec.rs
@@ -2,35 +2,35 @@
 
 use std::fmt::Write as _;
 
-use super::Accepts;
+use super::ValueKind;
 
-/// What holds for a key that is not given.
+/// The default of a key that is not given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyDefault {
     /// The key must be given.
     Required,
-    /// The key may be left out, and then nothing is set.
-    Nothing,
-    /// This value holds.
+    /// The key may be left out, and then has no value.
+    Unset,
+    /// This value applies.
     Value(&'static str),
 }
 
-/// One key: its place, what it accepts and what it means.
+/// One key: its section and name, its default, the values that it accepts and its meaning.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeySpec {
     /// Section of the file.
     pub section: &'static str,
     /// Name of the key, with its unit as a suffix.
     pub name: &'static str,
-    /// What holds if it is not given.
+    /// Default if it is not given.
     pub default: KeyDefault,
-    /// What it accepts.
-    pub accepts: Accepts,
-    /// What it means.
+    /// Kind of the values that it accepts.
+    pub value_kind: ValueKind,
+    /// Meaning, as listed by `--print-settings`.
     pub meaning: &'static str,
 }
 
-/// Suffixes of keys, and the units that they stand for.
+/// Suffixes of keys and their units.
 const UNITS: &[(&str, &str)] = &[
     ("_ms", "ms"),
     ("_bytes", "bytes"),
@@ -43,14 +43,14 @@
     pub(super) const fn required(
         section: &'static str,
         name: &'static str,
-        accepts: Accepts,
+        value_kind: ValueKind,
         meaning: &'static str,
     ) -> Self {
         Self {
             section,
             name,
             default: KeyDefault::Required,
-            accepts,
+            value_kind,
             meaning,
         }
     }
@@ -60,12 +60,12 @@
         section: &'static str,
         name: &'static str,
         default: &'static str,
-        accepts: Accepts,
+        value_kind: ValueKind,
         meaning: &'static str,
     ) -> Self {
         Self {
             default: KeyDefault::Value(default),
-            ..Self::required(section, name, accepts, meaning)
+            ..Self::required(section, name, value_kind, meaning)
         }
     }
 
@@ -76,12 +76,12 @@
         stated.map_or("", |(_, unit)| unit)
     }
 
-    /// The default as a person reads it.
+    /// The default as shown to users.
     #[must_use]
     pub const fn default_text(&self) -> &'static str {
         match self.default {
             KeyDefault::Required => "required",
-            KeyDefault::Nothing => "none",
+            KeyDefault::Unset => "none",
             KeyDefault::Value(value) => value,
         }
     }
@@ -94,12 +94,12 @@
     );
     for key in keys {
         let [section, name, unit] = [key.section, key.name, key.unit()];
-        let (default, accepts, meaning) = (key.default_text(), key.accepts, key.meaning);
+        let (default, value_kind, meaning) = (key.default_text(), key.value_kind, key.meaning);
         let row = writeln!(
             page,
-            "| {section} | {name} | {default} | {unit} | {accepts} | {meaning} |"
+            "| {section} | {name} | {default} | {unit} | {value_kind} | {meaning} |"
         );
-        row.expect("a string takes all that is written to it");
+        row.expect("writing to a string never fails");
     }
     page
 }
--- a/crates/amaranthscale/src/process/settings/ledger_settings.rs
+++ b/crates/amaranthscale/src/process/settings/ledger_settings.rs
@@ -5,7 +5,7 @@
 /// The ledger of attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LedgerSettings {
-    /// Attempts that are remembered.
+    /// Most attempts in the ledger.
     pub max_entries: usize,
     /// Time for which the outcome of a finished attempt can be fetched.
     pub keep_finished_ms: u64,
--- a/crates/amaranthscale/src/process/settings/limit_settings.rs
+++ b/crates/amaranthscale/src/process/settings/limit_settings.rs
@@ -1,21 +1,21 @@
-//! What an entry takes from callers.
+//! Limits on callers' requests to an entry.
 
 use super::{SettingsError, SettingsText};
 
-/// What an entry takes from callers.
+/// Limits on callers' requests to an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitSettings {
     /// Largest body of a request.
     pub max_body_bytes: usize,
     /// Largest headers of a request.
     pub max_header_bytes: usize,
-    /// Requests held at once.
+    /// Most requests in flight.
     pub max_requests: usize,
     /// Time in which a request has to arrive whole.
     pub read_timeout_ms: u64,
-    /// Deadline where neither caller nor tree names one.
+    /// Deadline if neither caller nor tree sets one.
     pub default_deadline_ms: u64,
-    /// Longest deadline that a caller may name.
+    /// Longest deadline that a caller may set.
     pub max_deadline_ms: u64,
 }
 
--- a/crates/amaranthscale/src/process/settings/queue_settings.rs
+++ b/crates/amaranthscale/src/process/settings/queue_settings.rs
@@ -1,13 +1,13 @@
-//! The queue before a backend server.
+//! The queue in front of a backend server.
 
 use super::{SettingsError, SettingsText};
 
-/// The queue before a backend server.
+/// The queue in front of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueSettings {
-    /// Attempts at the backend server at once.
+    /// Most concurrent attempts at the backend server.
     pub slots: u32,
-    /// Attempts that wait.
+    /// Most attempts that wait.
     pub capacity: usize,
     /// Slots that trial work leaves free.
     pub paid_reserve_slots: u32,
--- a/crates/amaranthscale/src/process/settings/settings_error.rs
+++ b/crates/amaranthscale/src/process/settings/settings_error.rs
@@ -14,23 +14,23 @@
         NoSection(file: String, line: usize, key: String) {
             display("{file}:{line}: key {key:?} stands before the first [section]: move it into one")
         }
-        /// A section that means nothing.
+        /// An unknown section.
         UnknownSection(file: String, line: usize, section: String, accepted: String) {
             display("{file}:{line}: section [{section}] is unknown: use {accepted}")
         }
-        /// A key that means nothing in its section.
+        /// An unknown key of a section.
         UnknownKey(file: String, line: usize, section: String, key: String, accepted: String) {
             display("{file}:{line}: [{section}] {key} is unknown: use {accepted}")
         }
-        /// A section that stands twice.
+        /// A duplicate section.
         DuplicateSection(file: String, line: usize, section: String, first_line: usize) {
             display("{file}:{line}: section [{section}] stands in line {first_line} already: join the two")
         }
-        /// A key that stands twice.
+        /// A duplicate key.
         DuplicateKey(file: String, line: usize, section: String, key: String, first_line: usize) {
             display("{file}:{line}: [{section}] {key} stands in line {first_line} already: keep one")
         }
-        /// A key that must be given.
+        /// A missing key that must be given.
         MissingKey(file: String, section: &'static str, key: &'static str, accepted: String) {
             display("{file}: [{section}] {key} is missing: give {accepted}")
         }
@@ -38,7 +38,7 @@
         BadValue(file: String, line: usize, section: &'static str, key: &'static str, value: String, accepted: String) {
             display("{file}:{line}: [{section}] {key} = {value}: give {accepted}")
         }
-        /// Two values that do not go together.
+        /// Two values that contradict each other.
         Contradiction(file: String, line: usize, section: &'static str, key: &'static str, value: u64, accepted: String) {
             display("{file}:{line}: [{section}] {key} = {value}: give {accepted}")
         }
@@ -46,7 +46,7 @@
 }
 
 impl SettingsError {
-    /// Line that is wrong; none where a line is missing.
+    /// Line that is wrong; none if a line is missing.
     #[must_use]
     pub const fn line(&self) -> Option<usize> {
         match self {
--- a/crates/amaranthscale/src/process/settings/settings_text.rs
+++ b/crates/amaranthscale/src/process/settings/settings_text.rs
@@ -20,10 +20,10 @@
 }
 
 impl<'a> SettingsText<'a> {
-    /// Reads a text and checks it against a table of keys.
+    /// Parses a text and checks it against a table of keys.
     ///
-    /// The parser sees one line at a time: it does not tell the lines of keys, and an error has
-    /// to name the line. Keys and values thus never span lines.
+    /// The INI parser gets one line at a time: it does not report the lines of keys, and an error
+    /// has to name the line. Keys and values thus never span lines.
     pub(super) fn parse(
         file: &'a str,
         text: &str,
@@ -37,7 +37,7 @@
         };
         let mut section = None;
         for (index, line) in text.lines().enumerate() {
-            read.take_line(&mut section, line.trim(), index + 1)?;
+            read.add_line(&mut section, line.trim(), index + 1)?;
         }
         read.check_complete()?;
         Ok(read)
@@ -62,7 +62,7 @@
         let mut keys = self.keys.iter();
         let key = keys.find(|key| key.section == section && key.name == name);
         let key = key.unwrap_or_else(|| panic!("[{section}] {name} is not in the table"));
-        let text = self.text_of(key)?;
+        let text = self.value_text(key)?;
         let value = text.parse().ok();
         assert!(value.is_some(), "[{section}] {name} takes {text:?}");
         value
@@ -81,7 +81,7 @@
             return Ok(());
         }
         let line_of = |name| self.values.get(&(section, name)).map(|(_, line)| *line);
-        // If the value is a default, the line of the limit is the one to mend.
+        // If the value is a default, the line of the limit is the one to correct.
         let line = line_of(name).or_else(|| line_of(limit_name));
         let line = line.unwrap_or_default();
         let file = self.file.to_owned();
@@ -91,7 +91,7 @@
         ))
     }
 
-    fn take_line(
+    fn add_line(
         &mut self,
         section: &mut Option<String>,
         text: &str,
@@ -102,23 +102,23 @@
         let parsed = parse_line(text).ok_or_else(syntax)?;
         for (name, properties) in &parsed {
             if let Some(name) = name {
-                self.take_section(name, line)?;
+                self.add_section(name, line)?;
                 *section = Some(name.to_owned());
             }
             for (key, value) in properties {
-                self.take_key(section.as_deref(), key, value, line)?;
+                self.add_key(section.as_deref(), key, value, line)?;
             }
         }
         Ok(())
     }
 
-    fn take_section(&mut self, section: &str, line: usize) -> Result<(), SettingsError> {
+    fn add_section(&mut self, section: &str, line: usize) -> Result<(), SettingsError> {
         let file = || self.file.to_owned();
         let name = section.to_owned();
         let accepted: BTreeSet<_> = self.keys.iter().map(|key| key.section).collect();
         if !accepted.contains(section) {
             let accepted = accepted.iter().map(|name| format!("[{name}]"));
-            let accepted = either(accepted);
+            let accepted = join_alternatives(accepted);
             return Err(SettingsError::UnknownSection(file(), line, name, accepted));
         }
         match self.sections.insert(name.clone(), line) {
@@ -127,7 +127,7 @@
         }
     }
 
-    fn take_key(
+    fn add_key(
         &mut self,
         section: Option<&str>,
         name: &str,
@@ -137,16 +137,16 @@
         let file = self.file.to_owned();
         let no_section = || SettingsError::NoSection(file.clone(), line, name.to_owned());
         let section = section.ok_or_else(no_section)?;
-        let here = || self.keys.iter().filter(|key| key.section == section);
-        let Some(key) = here().find(|key| key.name == name) else {
-            let accepted = either(here().map(|key| key.name.to_owned()));
+        let section_keys = || self.keys.iter().filter(|key| key.section == section);
+        let Some(key) = section_keys().find(|key| key.name == name) else {
+            let accepted = join_alternatives(section_keys().map(|key| key.name.to_owned()));
             let (section, name) = (section.to_owned(), name.to_owned());
             return Err(SettingsError::UnknownKey(
                 file, line, section, name, accepted,
             ));
         };
-        if !key.accepts.takes(value) {
-            let shown = if key.accepts.is_secret() {
+        if !key.value_kind.accepts(value) {
+            let shown = if key.value_kind.is_secret() {
                 HIDDEN
             } else {
                 value
@@ -157,11 +157,11 @@
                 key.section,
                 key.name,
                 format!("{shown:?}"),
-                key.accepts.to_string(),
+                key.value_kind.to_string(),
             ));
         }
-        let place = (key.section, key.name);
-        match self.values.insert(place, (value.to_owned(), line)) {
+        let id = (key.section, key.name);
+        match self.values.insert(id, (value.to_owned(), line)) {
             Some((_, first)) => {
                 let (section, name) = (section.to_owned(), name.to_owned());
                 Err(SettingsError::DuplicateKey(
@@ -182,24 +182,24 @@
                 self.file.to_owned(),
                 key.section,
                 key.name,
-                key.accepts.to_string(),
+                key.value_kind.to_string(),
             )),
             None => Ok(()),
         }
     }
 
-    fn text_of(&self, key: &KeySpec) -> Option<&str> {
+    fn value_text(&self, key: &KeySpec) -> Option<&str> {
         let given = self.values.get(&(key.section, key.name));
         match (given, key.default) {
             (Some((text, _)), _) => Some(text),
             (None, KeyDefault::Value(text)) => Some(text),
-            (None, KeyDefault::Required | KeyDefault::Nothing) => None,
+            (None, KeyDefault::Required | KeyDefault::Unset) => None,
         }
     }
 
-    /// A line for an error; it is hidden in a section that holds a secret.
+    /// A line as shown in an error; it is hidden in a section with a secret.
     fn shown(&self, section: Option<&str>, text: &str) -> String {
-        let mut secrets = self.keys.iter().filter(|key| key.accepts.is_secret());
+        let mut secrets = self.keys.iter().filter(|key| key.value_kind.is_secret());
         if secrets.any(|key| section == Some(key.section)) {
             HIDDEN.to_owned()
         } else {
@@ -208,7 +208,7 @@
     }
 }
 
-/// Parses one line; values are taken as they stand, without quotes or escapes.
+/// Parses one line; values are read literally, without quotes or escapes.
 fn parse_line(text: &str) -> Option<Ini> {
     let option = ParseOption {
         enabled_quote: false,
@@ -218,8 +218,8 @@
     Ini::load_from_str_opt(text, option).ok()
 }
 
-/// Joins names as a person lists them.
-fn either(names: impl Iterator<Item = String>) -> String {
+/// Joins names into a list of alternatives.
+fn join_alternatives(names: impl Iterator<Item = String>) -> String {
     let names: Vec<_> = names.collect();
     match names.split_last() {
         Some((last, [])) => last.clone(),
--- a/crates/amaranthscale/src/process/settings/sidecar_keys.rs
+++ b/crates/amaranthscale/src/process/settings/sidecar_keys.rs
@@ -1,9 +1,9 @@
 //! The keys of a sidecar's settings.
 
 use super::entry_keys::{TIME, number};
-use super::{Accepts, KeyDefault, KeySpec};
+use super::{KeyDefault, KeySpec, ValueKind};
 
-use Accepts::{Address, Flag, LogLevel, Name};
+use ValueKind::{Address, Flag, LogLevel, Name};
 
 /// Every key of a sidecar.
 pub const SIDECAR_KEYS: &[KeySpec] = &[
@@ -108,8 +108,8 @@
     KeySpec {
         section: "metrics",
         name: "statsd",
-        default: KeyDefault::Nothing,
-        accepts: Accepts::Address,
+        default: KeyDefault::Unset,
+        value_kind: ValueKind::Address,
         meaning: "address that counters are sent to as statsd; without it they stand in /status only",
     },
     KeySpec::optional(
--- a/crates/amaranthscale/src/process/settings/sidecar_settings.rs
+++ b/crates/amaranthscale/src/process/settings/sidecar_settings.rs
@@ -40,15 +40,15 @@
     pub backend: SocketAddr,
     /// Address of the platform's HTTP.
     pub platform: SocketAddr,
-    /// Queue before the backend server.
+    /// Queue in front of the backend server.
     pub queue: QueueSettings,
     /// Ledger of attempts.
     pub ledger: LedgerSettings,
     /// Longest time that a graceful shutdown waits for running attempts.
     pub drain_ms: u64,
-    /// How the sidecar keeps up with the settings tree.
+    /// Intervals of the settings tree's synchronisation.
     pub tree: TreeSettings,
-    /// What the backend server understands beside calls.
+    /// Capabilities of the backend server beyond calls.
     pub engine: EngineSettings,
     /// Least level of logged lines.
     pub log_level: LevelFilter,
@@ -57,7 +57,7 @@
 }
 
 impl SidecarSettings {
-    /// Reads settings; the file's name stands in errors.
+    /// Parses settings; errors contain the file's name.
     pub fn parse(file_name: impl AsRef<str>, text: impl AsRef<str>) -> Result<Self, SettingsError> {
         let text = SettingsText::parse(file_name.as_ref(), text.as_ref(), SIDECAR_KEYS)?;
         Ok(Self {
--- a/crates/amaranthscale/src/process/settings/tree_settings.rs
+++ b/crates/amaranthscale/src/process/settings/tree_settings.rs
@@ -1,11 +1,11 @@
-//! How a process keeps up with the settings tree.
+//! Intervals at which a process synchronises the settings tree.
 
 use super::SettingsText;
 
-/// How a process keeps up with the settings tree.
+/// Intervals at which a process synchronises the settings tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TreeSettings {
-    /// Time between two looks at the tree's version in the table.
+    /// Time between two polls of the tree's version in the table.
     pub poll_ms: u64,
     /// Time between two comparisons with another process.
     pub exchange_ms: u64,
--- a/crates/amaranthscale/src/process/stop_signal.rs
+++ b/crates/amaranthscale/src/process/stop_signal.rs
@@ -13,7 +13,7 @@
 }
 
 impl StopSignal {
-    /// Takes over the signals of this process.
+    /// Installs handlers for the signals of this process.
     pub fn listen() -> io::Result<Self> {
         let terminate = signal(SignalKind::terminate())?;
         let interrupt = signal(SignalKind::interrupt())?;
--- a/crates/amaranthscale/src/process/table_write.rs
+++ b/crates/amaranthscale/src/process/table_write.rs
@@ -9,15 +9,15 @@
 
 use super::{PlatformClient, PlatformError};
 
-/// First pause after a failed call; a table under load must not be hit in a tight loop.
-const FIRST_PAUSE: Duration = Duration::from_millis(25);
-/// Longest pause, so that rows are settled soon after an outage.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+/// First pause after a failed call; a table under load must not be called in a tight loop.
+const FIRST_BACKOFF: Duration = Duration::from_millis(25);
+/// Longest pause, so that writes are settled soon after an outage.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Drives one conditional write until it is settled.
 ///
-/// Dropping [`TableWrite::settle`] half-way is safe: [`TableWrite::may_take_effect`] then says
-/// whether the write can still come about.
+/// The future of [`TableWrite::settle`] may be dropped at any time: [`TableWrite::may_take_effect`]
+/// then shows whether the write can still take effect.
 #[derive(Debug)]
 pub struct TableWrite {
     write: ConditionalWrite,
@@ -32,7 +32,7 @@
         Self {
             write,
             may_take_effect: false,
-            pause: FIRST_PAUSE,
+            pause: FIRST_BACKOFF,
         }
     }
 
@@ -42,16 +42,16 @@
         self.may_take_effect
     }
 
-    /// Settles the write, or gives none when time is up first.
+    /// Settles the write; none if the deadline passes first.
     pub async fn settle_until(
         &mut self,
         platform: &PlatformClient,
-        until: Instant,
+        deadline: Instant,
     ) -> Option<WriteStep> {
-        timeout_at(until, self.settle(platform)).await.ok()
+        timeout_at(deadline, self.settle(platform)).await.ok()
     }
 
-    /// Sends, reads back and repeats until the row has moved.
+    /// Sends the write, reads the row back and retries until the write is settled.
     pub async fn settle(&mut self, platform: &PlatformClient) -> WriteStep {
         let mut step = WriteStep::Send;
         while !step.is_settled() {
@@ -73,7 +73,7 @@
                 self.pause().await;
                 WriteStep::Send
             }
-            // An answer that cannot be read is as good as lost: the write may have taken effect.
+            // An answer that cannot be parsed counts as lost: the write may have taken effect.
             Err(error) => {
                 debug!("table: write not settled: {error}");
                 self.pause().await;
@@ -94,9 +94,9 @@
     }
 
     async fn pause(&mut self) {
-        // Jitter keeps a fleet from coming back in step when the table does.
+        // Jitter keeps processes from retrying in step when the table is back.
         let pause = self.pause.mul_f64(rand::random_range(0.5..1.0));
-        self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+        self.pause = (self.pause * 2).min(MAX_BACKOFF);
         tokio::time::sleep(pause).await;
     }
 }
--- a/crates/amaranthscale/tests/bounded_lines.rs
+++ b/crates/amaranthscale/tests/bounded_log.rs
@@ -1,11 +1,11 @@
-//! Log lines that never hold up the process.
+//! Log lines that never block the process.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-use amaranthscale::process::BoundedLines;
+use amaranthscale::process::BoundedLogWriter;
 
-/// An output whose writes wait until they are let through.
+/// An output whose writes wait for a gate.
 struct GatedOutput {
     gate: Receiver<()>,
     written: Sender<String>,
@@ -13,7 +13,7 @@
 
 impl Write for GatedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // A closed gate lets everything through.
+        // All writes pass once the gate's sender is dropped.
         let _ = self.gate.recv();
         let text = String::from_utf8_lossy(bytes).into_owned();
         self.written.send(text).map_err(io::Error::other)?;
@@ -25,13 +25,13 @@
     }
 }
 
-/// Nobody reads the standard output of a gateway. Its requests must go on, and once somebody reads
-/// again, the file must tell how many lines are missing.
+/// Nobody reads the standard output of a gateway. Its requests must continue, and once it is read
+/// again, a line must report how many lines are missing.
 #[test]
-fn a_reader_that_stalls_costs_lines_and_not_time() {
+fn a_stalled_reader_loses_lines_without_blocking() {
     let (open, gate) = channel();
     let (written, lines) = channel();
-    let mut log = BoundedLines::start(GatedOutput { gate, written }).unwrap();
+    let mut log = BoundedLogWriter::start(GatedOutput { gate, written }).unwrap();
 
     for number in 0..20_000 {
         writeln!(log, "line {number}").unwrap();
@@ -52,10 +52,10 @@
 }
 
 #[test]
-fn lines_are_written_whole_whatever_the_writes() {
+fn lines_are_written_whole_however_they_are_split() {
     let (open, gate) = channel();
     let (written, lines) = channel();
-    let mut log = BoundedLines::start(GatedOutput { gate, written }).unwrap();
+    let mut log = BoundedLogWriter::start(GatedOutput { gate, written }).unwrap();
     drop(open);
 
     log.write_all(b"one ").unwrap();
--- a/crates/amaranthscale/tests/counters.rs
+++ b/crates/amaranthscale/tests/counters.rs
@@ -1,4 +1,4 @@
-//! Counters on their way to a statsd address.
+//! Counters that are sent to a statsd address.
 
 use std::net::UdpSocket;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 const WAIT: Duration = Duration::from_secs(30);
 
 #[test]
-fn a_count_is_kept_and_sent_with_its_reason() {
+fn a_count_is_stored_and_sent_with_its_reason() {
     // Arrange
     let statsd = UdpSocket::bind("127.0.0.1:0").unwrap();
     statsd.set_read_timeout(Some(WAIT)).unwrap();
--- a/crates/amaranthscale/tests/platform_client.rs
+++ b/crates/amaranthscale/tests/platform_client.rs
@@ -1,4 +1,4 @@
-//! The platform's answers over a narrow link.
+//! Calls to the platform over a slow link.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,14 +7,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// Patience of the client.
+/// Timeout of the client.
 const TIMEOUT: Duration = Duration::from_millis(300);
 /// Parts of an answer, and the time between two of them.
 const PARTS: usize = 8;
-const BETWEEN: Duration = Duration::from_millis(100);
+const PART_INTERVAL: Duration = Duration::from_millis(100);
 const PART_BYTES: usize = 1_000;
 
-/// A platform that sends so many parts of each answer and then nothing more.
+/// A platform that sends this many parts of each answer and then nothing more.
 async fn slow_platform(sent_parts: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
@@ -28,7 +28,7 @@
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
                 let _sent = stream.write_all(head.as_bytes()).await;
                 for _ in 0..sent_parts {
-                    tokio::time::sleep(BETWEEN).await;
+                    tokio::time::sleep(PART_INTERVAL).await;
                     let _sent = stream.write_all(&[b'x'; PART_BYTES]).await;
                 }
                 std::future::pending::<()>().await;
@@ -38,13 +38,13 @@
     address
 }
 
-/// Guards against a snapshot of the tree that is given up before its end and begun anew for good.
+/// Guards against a download of the tree's snapshot that is aborted and restarted forever.
 #[tokio::test]
-async fn an_object_that_takes_longer_than_the_patience_is_read() {
+async fn an_object_that_takes_longer_than_the_timeout_is_read() {
     let platform = slow_platform(PARTS).await;
     let client = PlatformClient::new(platform, PlatformClientLimits { timeout: TIMEOUT });
 
-    let object = client.object("tree").await.expect("it comes all the while");
+    let object = client.object("tree").await.expect("it keeps arriving");
 
     assert_eq!(object.len(), PARTS * PART_BYTES);
 }
@@ -58,7 +58,7 @@
         let mut buffer = vec![0; bytes / PARTS];
         let mut read = 0;
         while read < bytes {
-            tokio::time::sleep(BETWEEN).await;
+            tokio::time::sleep(PART_INTERVAL).await;
             read += stream.read(&mut buffer).await.expect("more of the body");
         }
         let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -68,25 +68,25 @@
     address
 }
 
-/// Guards against a snapshot of the tree that is too large to be kept in a second.
+/// Guards against a snapshot of the tree that is too large to be stored within a second.
 #[tokio::test]
-async fn an_object_that_takes_longer_than_the_patience_is_kept() {
+async fn an_object_that_takes_longer_than_the_timeout_is_stored() {
     let bytes = 400_000;
     let platform = slowly_reading_platform(bytes).await;
     let client = PlatformClient::new(platform, PlatformClientLimits { timeout: TIMEOUT });
 
-    let kept = client.put_object("tree", vec![0; bytes]).await;
+    let stored = client.put_object("tree", vec![0; bytes]).await;
 
-    kept.expect("it leaves all the while");
+    stored.expect("its upload makes progress");
 }
 
-/// Guards against a reader that waits for good for the rest of an answer.
+/// Guards against a reader that waits forever for the rest of an answer.
 #[tokio::test]
-async fn an_answer_that_falls_silent_is_lost() {
+async fn a_stalled_answer_is_an_error() {
     let platform = slow_platform(PARTS / 2).await;
     let client = PlatformClient::new(platform, PlatformClientLimits { timeout: TIMEOUT });
 
-    let read = tokio::time::timeout(BETWEEN * 20, client.object("tree")).await;
+    let read = tokio::time::timeout(PART_INTERVAL * 20, client.object("tree")).await;
 
-    assert!(read.expect("given up").is_err());
+    assert!(read.expect("the client gives up").is_err());
 }
--- a/crates/amaranthscale/tests/settings_examples.rs
+++ b/crates/amaranthscale/tests/settings_examples.rs
@@ -1,4 +1,4 @@
-//! The examples load, and their public keys fit the hashes in their files.
+//! The examples load, and their public keys match the hashes in their files.
 
 use std::fs;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn every_public_key_finds_its_organisation() {
+fn every_published_key_belongs_to_its_organisation() {
     for directory in ["delta-basin", "cedarline"] {
         let compiled = compiled(directory);
         let keys = keys(directory);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn every_settings_file_holds_and_names_a_service_of_its_tree() {
+fn every_settings_file_is_valid_and_names_a_service_of_its_tree() {
     for directory in ["delta-basin", "cedarline"] {
         let compiled = compiled(directory);
         let files = fs::read_dir(format!("{EXAMPLES}/{directory}")).unwrap();
--- a/crates/amaranthscale/tests/settings_files.rs
+++ b/crates/amaranthscale/tests/settings_files.rs
@@ -1,4 +1,4 @@
-//! Settings files: what they say, and how an error names what is wrong.
+//! Settings files: their values, and errors that name what is wrong.
 
 use amaranthscale::process::settings::{
     ENTRY_KEYS, EntrySettings, KeyDefault, KeySpec, SIDECAR_KEYS, SettingsError, SidecarSettings,
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn defaults_fill_what_is_not_given() {
+fn keys_that_are_not_given_have_defaults() {
     let entry = EntrySettings::parse("e.ini", ENTRY).unwrap();
     let sidecar = SidecarSettings::parse("s.ini", SIDECAR).unwrap();
 
@@ -85,7 +85,7 @@
 #[test]
 fn a_missing_key_and_a_key_without_section_are_named() {
     let missing = EntrySettings::parse("e.ini", "[entry]\nhost = e1\n").unwrap_err();
-    let homeless = EntrySettings::parse("e.ini", "host = e1\n").unwrap_err();
+    let without_section = EntrySettings::parse("e.ini", "host = e1\n").unwrap_err();
 
     assert!(
         missing
@@ -93,14 +93,14 @@
             .starts_with("e.ini: [entry] region is missing")
     );
     assert!(
-        homeless
+        without_section
             .to_string()
             .starts_with("e.ini:1: key \"host\" stands before")
     );
 }
 
-/// An operator writes the key itself where its hash belongs. The daemon refuses to start, and
-/// its error goes to a log that many can read. The cause: errors that repeat the value.
+/// An operator writes the key itself instead of its hash. The daemon refuses to start, and its
+/// error goes to a log that many can read: errors that repeat the value would disclose the key.
 #[test]
 fn a_key_in_place_of_its_hash_is_not_shown() {
     for line in [
@@ -134,31 +134,31 @@
 }
 
 #[test]
-fn every_default_is_accepted_and_every_number_of_time_has_a_unit() {
+fn every_default_is_accepted_and_every_time_has_a_unit() {
     for key in ENTRY_KEYS.iter().chain(SIDECAR_KEYS) {
         if let KeyDefault::Value(value) = key.default {
-            assert!(key.accepts.takes(value), "{}", key.name);
+            assert!(key.value_kind.accepts(value), "{}", key.name);
         }
         let is_timed = key.meaning.contains("time");
         assert!(!is_timed || key.unit() == "ms", "{}", key.name);
     }
 }
 
-/// Any value that the table accepts must fit the type of its field, or reading would panic.
+/// Any value that the table accepts must fit the type of its field, or parsing would panic.
 #[test]
-fn the_ends_of_every_range_are_read() {
+fn the_limits_of_every_range_are_accepted() {
     let texts = |keys: &[KeySpec], base: &str, end: fn(u64, u64) -> u64| {
         keys.iter()
-            .filter_map(|key| match key.accepts {
-                amaranthscale::process::settings::Accepts::Number { least, most } => {
-                    let value = end(least, most);
+            .filter_map(|key| match key.value_kind {
+                amaranthscale::process::settings::ValueKind::Number { min, max } => {
+                    let value = end(min, max);
                     Some(format!("{base}[{}]\n{} = {value}\n", key.section, key.name))
                 }
                 _ => None,
             })
             .collect::<Vec<_>>()
     };
-    for end in [|least, _| least, |_, most| most] {
+    for end in [|min, _| min, |_, max| max] {
         for text in texts(ENTRY_KEYS, ENTRY, end) {
             let read = EntrySettings::parse("e.ini", &text);
             assert!(read.is_ok() || text.contains("deadline"), "{read:?}");
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn random_text_is_read_or_refused_without_a_panic() {
+fn random_text_is_parsed_or_rejected_without_a_panic() {
     fn property(pieces: Vec<u8>, noise: String) -> bool {
         let known = [
             "[entry]", "[", "]", "host", "=", ":", "\n", "\\", "\"", "'", "#", " ", "\r",
