--- a/crates/amaranthscale/src/gateway/process/batch_owner.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_owner.rs
@@ -279,7 +279,7 @@
         let now = self.arguments.cluster_view.clock().now();
         let cold_allowance = self.arguments.cold_allowance;
         let with_availability = own.into_iter().map(|server| {
-            let cold_limits = routing.cold_terms(&server.service, cold_allowance);
+            let cold_limits = routing.cold_limits(&server.service, cold_allowance);
             (server, servers.availability_of(server, cold_limits, now))
         });
         self.batcher.set_servers(&routing, with_availability, now);
--- a/crates/amaranthscale/src/gateway/process/server_selection.rs
+++ b/crates/amaranthscale/src/gateway/process/server_selection.rs
@@ -163,7 +163,7 @@
     /// Limits of a service's cold servers.
     fn cold_limits(&self, service: &ServiceId) -> Option<ColdLimits> {
         let routing = self.cluster_view.routing()?;
-        routing.cold_terms(service, self.send_shares.cold_allowance())
+        routing.cold_limits(service, self.send_shares.cold_allowance())
     }
 
     fn share_inputs(
