--- a/crates/amaranthscale/src/gateway/daemon.rs
+++ b/crates/amaranthscale/src/gateway/daemon.rs
@@ -19,8 +19,8 @@
     publish_limits, remove_expired_evidence, remove_stale_limits,
 };
 use super::version::{
-    ClusterView, FeedPace, KEY_AGE_PERCENT, Neighbours, Own, READY_AGE_PERCENT, announce_instance,
-    follow_instances, follow_routing, follow_servers, withdraw_instance,
+    ClusterView, KEY_AGE_PERCENT, OwnInstance, PollTiming, READY_AGE_PERCENT, RelayContext,
+    announce_instance, follow_instances, follow_routing, follow_servers, withdraw_instance,
 };
 use crate::connection::{HttpServer, PeerClient, PeerClientLimits};
 use crate::process::Counters;
@@ -80,7 +80,7 @@
             config.announcement.clone(),
         ));
         let context = Arc::new(build_context(&config, &cluster_view));
-        let own = Own {
+        let own = OwnInstance {
             instance: config.instance.clone(),
             announcement: config.announcement.clone(),
             shutdown: Arc::clone(&context.shutdown),
@@ -181,31 +181,35 @@
     }
 }
 
-fn follow(config: &GatewayConfig, context: &GatewayContext, own: Own) -> Vec<JoinHandle<()>> {
-    let neighbours = Neighbours {
+fn follow(
+    config: &GatewayConfig,
+    context: &GatewayContext,
+    own: OwnInstance,
+) -> Vec<JoinHandle<()>> {
+    let relay_context = RelayContext {
         cluster_view: Arc::clone(&context.cluster_view),
         peers: Arc::clone(&context.peers),
-        handed_on: Arc::clone(&context.handed_on),
+        table_relay: Arc::clone(&context.table_relay),
         counters: Arc::clone(&context.counters),
     };
     vec![
         tokio::spawn(follow_routing(
             config.store.clone(),
-            neighbours.clone(),
+            relay_context.clone(),
             Arc::clone(&context.latencies),
-            FeedPace::routing(config.revoke_bound)
-                .heard_within(config.apply_bound.min(config.evacuation_bound)),
+            PollTiming::routing(config.revoke_bound)
+                .with_relay_bound(config.apply_bound.min(config.evacuation_bound)),
         )),
         tokio::spawn(follow_servers(
             config.store.clone(),
-            neighbours.clone(),
-            FeedPace::servers(config.drain_bound),
+            relay_context.clone(),
+            PollTiming::servers(config.drain_bound),
         )),
         tokio::spawn(follow_instances(
             config.store.clone(),
-            neighbours,
+            relay_context,
             own,
-            FeedPace::instances(config.crash_bound),
+            PollTiming::instances(config.crash_bound),
         )),
     ]
 }
@@ -251,7 +255,7 @@
         send_shares: SendShares::new(config.cold_allowance, config.clock.now()),
         batch_owners: Arc::new(BatchOwners::new(arguments)),
         peers: Arc::new(PeerClient::new(PEER_LIMITS)),
-        handed_on: Arc::default(),
+        table_relay: Arc::default(),
         counters,
         latencies,
         shutdown: Arc::new(ShutdownGate::default()),
--- a/crates/amaranthscale/src/gateway/process/gateway_context.rs
+++ b/crates/amaranthscale/src/gateway/process/gateway_context.rs
@@ -7,7 +7,7 @@
 
 use super::super::Dialect;
 use super::super::connection::ConnectionPool;
-use super::super::version::{ClusterView, HandedOn};
+use super::super::version::{ClusterView, TableRelay};
 use super::{
     BatchOwners, CrashTracker, FirstEventEstimators, LimitTracker, RetryBudgets, SendShares,
     ShutdownGate,
@@ -41,7 +41,7 @@
     /// Connections to other gateways.
     pub peers: Arc<PeerClient>,
     /// Copies of the store's tables, relayed to other gateways.
-    pub handed_on: Arc<HandedOn>,
+    pub table_relay: Arc<TableRelay>,
     /// Counts of answers, refusals and retries.
     pub counters: Arc<Counters>,
     /// Latencies by part of a request and by stage service.
@@ -66,7 +66,7 @@
         let now = self.cluster_view.clock().now();
         let is_granted = self
             .retry_budgets
-            .try_retry(service, self.cluster_view.live(), now);
+            .try_retry(service, self.cluster_view.live_count(), now);
         let name = if is_granted {
             "repeat.sent"
         } else {
@@ -83,7 +83,11 @@
         pool.map_or(ConnectionShare::UNLIMITED, |pool| {
             let servers = self.cluster_view.servers();
             let servers = servers.usable(service).count();
-            ConnectionShare::of(pool.max_connections, servers, self.cluster_view.live())
+            ConnectionShare::of(
+                pool.max_connections,
+                servers,
+                self.cluster_view.live_count(),
+            )
         })
     }
 
--- a/crates/amaranthscale/src/gateway/process/monitor_unresponsive.rs
+++ b/crates/amaranthscale/src/gateway/process/monitor_unresponsive.rs
@@ -25,7 +25,7 @@
 pub async fn monitor_unresponsive(context: Arc<GatewayContext>, store: StoreApi) {
     let mut removed = BTreeSet::new();
     loop {
-        context.cluster_view.silence().await;
+        context.cluster_view.unresponsive_marked().await;
         let displaced = context.cluster_view.displaced().into_iter();
         let displaced: Vec<_> = displaced.filter(|id| !removed.contains(id)).collect();
         let is_cut_off = !displaced.is_empty() && !reaches_any_gateway(&context).await;
@@ -40,15 +40,15 @@
             }
         }
         tokio::time::sleep(PROBE_INTERVAL).await;
-        for (id, address) in context.cluster_view.passed_over() {
+        for (id, address) in context.cluster_view.unresponsive() {
             let context = Arc::clone(&context);
             tokio::spawn(async move {
                 if check_alive(&context.peers, &id, address).await {
                     info!(instance = id.as_str(); "membership: gateway answers again");
-                    context.cluster_view.heard(&id);
+                    context.cluster_view.mark_responsive(&id);
                 } else {
                     // This also wakes the loop as long as the gateway stays unresponsive.
-                    context.cluster_view.silent(&id);
+                    context.cluster_view.mark_unresponsive(&id);
                 }
             });
         }
@@ -60,7 +60,7 @@
 /// To a gateway that is itself cut off, but not from the store, all others look unresponsive; it
 /// must not displace the batch owner of all others.
 async fn reaches_any_gateway(context: &GatewayContext) -> bool {
-    let others = context.cluster_view.others();
+    let others = context.cluster_view.live_others();
     for (id, address) in others.iter().take(MAX_REACHABILITY_PROBES) {
         if check_alive(&context.peers, id, *address).await {
             return true;
--- a/crates/amaranthscale/src/gateway/process/peer_server.rs
+++ b/crates/amaranthscale/src/gateway/process/peer_server.rs
@@ -53,7 +53,7 @@
             return status_response(StatusCode::BAD_REQUEST);
         }
     };
-    let answer = context.handed_on.answer(rows_request).await;
+    let answer = context.table_relay.answer(rows_request).await;
     context.counters.count("store.handed-on");
     // Encoding texts, bytes and numbers cannot fail.
     let encoded = rmp_serde::to_vec_named(&answer).unwrap_or_default();
--- a/crates/amaranthscale/src/gateway/process/publish_crashes.rs
+++ b/crates/amaranthscale/src/gateway/process/publish_crashes.rs
@@ -7,7 +7,7 @@
 use log::{info, warn};
 
 use super::super::StoreApi;
-use super::super::version::{write_store, write_store_until_taken};
+use super::super::version::{write_store, write_store_with_retry};
 use super::GatewayContext;
 
 /// Time for which evidence is collected, as all runs at a crashed server are lost together.
@@ -30,17 +30,17 @@
         let evidence = context.crashes.take_unpublished();
         let crashes: usize = evidence.iter().map(|(_, one)| one.crashes.len()).sum();
         if crashes >= SPREAD_MIN_CRASHES {
-            let gateways = u32::try_from(context.cluster_view.live()).unwrap_or(u32::MAX);
+            let gateways = u32::try_from(context.cluster_view.live_count()).unwrap_or(u32::MAX);
             let spread = Duration::from_secs(1) * gateways / STORE_WRITES_PER_S;
             tokio::time::sleep(spread.mul_f64(rand::random_range(0.0..1.0))).await;
         }
         for (id, evidence) in evidence {
             let publish = || (store.publish_evidence)(&id, &evidence);
-            let failed = |reason: &str| {
+            let on_failure = |reason: &str| {
                 context.counters.count("quarantine.not-told");
                 warn!(evidence:% = id, reason; "quarantine: evidence not published, retrying");
             };
-            write_store_until_taken(&store, publish, RETRY_PAUSE, failed).await;
+            write_store_with_retry(&store, publish, RETRY_PAUSE, on_failure).await;
             context.counters.count("quarantine.told");
             info!(
                 evidence:% = id, crashes = evidence.crashes.len(), suspects = evidence.blames().count(),
--- a/crates/amaranthscale/src/gateway/process/publish_limits.rs
+++ b/crates/amaranthscale/src/gateway/process/publish_limits.rs
@@ -23,7 +23,7 @@
 pub async fn publish_limits(context: Arc<GatewayContext>, store: StoreApi) {
     loop {
         context.limits.publish_requested().await;
-        let gateways = u32::try_from(context.cluster_view.live()).unwrap_or(u32::MAX);
+        let gateways = u32::try_from(context.cluster_view.live_count()).unwrap_or(u32::MAX);
         let spread = SPREAD_PER_GATEWAY.saturating_mul(gateways);
         tokio::time::sleep(spread.mul_f64(rand::random_range(0.0..1.0))).await;
         for (server, limit) in context.limits.unpublished() {
--- a/crates/amaranthscale/src/gateway/process/run_job.rs
+++ b/crates/amaranthscale/src/gateway/process/run_job.rs
@@ -117,7 +117,7 @@
                 .map(|(outcome, body)| (outcome, ResultGuard::Peer { _body: body }))
         };
         match result {
-            Ok((JobOutcome::Stopping, _)) => context.cluster_view.silent(&owner),
+            Ok((JobOutcome::Stopping, _)) => context.cluster_view.mark_unresponsive(&owner),
             // Its CPU may be too slow, as on a host that other processes load; the next owner
             // reaches equally good servers. A gateway does not skip its own owner.
             Ok((
@@ -128,10 +128,10 @@
                 _,
             )) if !is_own => {
                 context.counters.count("owner.passed-over");
-                context.cluster_view.silent(&owner);
+                context.cluster_view.mark_unresponsive(&owner);
             }
             Ok((outcome, guard)) => {
-                context.cluster_view.heard(&owner);
+                context.cluster_view.mark_responsive(&owner);
                 return into_result(owner, outcome, guard);
             }
             Err(error) => {
@@ -145,7 +145,7 @@
                 // connection.
                 let is_first = failed_owner.as_ref() != Some(&owner);
                 if !(is_first && matches!(error, PeerJobError::ConnectionLost(_))) {
-                    context.cluster_view.silent(&owner);
+                    context.cluster_view.mark_unresponsive(&owner);
                 }
                 failed_owner = Some(owner);
             }
--- a/crates/amaranthscale/src/gateway/process/server_selection.rs
+++ b/crates/amaranthscale/src/gateway/process/server_selection.rs
@@ -172,7 +172,7 @@
         service: &ServiceId,
         rate_limit: SendRateLimit,
     ) -> ShareInputs {
-        let (own, gateways) = self.cluster_view.announced();
+        let (own, gateways) = self.cluster_view.announced_addresses();
         ShareInputs {
             rate_limit,
             servers: servers.not_leaving(service).count(),
--- a/crates/amaranthscale/src/gateway/process/single_run.rs
+++ b/crates/amaranthscale/src/gateway/process/single_run.rs
@@ -8,7 +8,7 @@
 use amaranthscale_core::process::CrashEvidence;
 use log::{info, warn};
 
-use super::super::version::{write_store_if, write_store_until_taken};
+use super::super::version::{write_store_if, write_store_with_retry};
 use super::CrashTracker;
 
 /// Time for which the claim of a lost run stays; by then evidence of a crash is published.
@@ -77,9 +77,9 @@
             tokio::time::sleep(retention).await;
             let store = tracker.store();
             let remove_evidence = || (store.remove_evidence)(&id);
-            let failed =
+            let on_failure =
                 |reason: &str| warn!(evidence:% = id, reason; "quarantine: evidence not removed");
-            write_store_until_taken(store, remove_evidence, RETRY_PAUSE, failed).await;
+            write_store_with_retry(store, remove_evidence, RETRY_PAUSE, on_failure).await;
             tracker.remove_own_claim(&id);
         });
     }
--- a/crates/amaranthscale/src/gateway/version.rs
+++ b/crates/amaranthscale/src/gateway/version.rs
@@ -2,16 +2,16 @@
 
 mod announce;
 mod cluster_view;
-mod copied_table;
 mod feed;
-mod feed_pace;
 mod follow;
-mod handed_on;
-mod line_budget;
-mod neighbour;
+mod invalid_entry_log;
+mod log_limiter;
 mod packed_row;
-mod refused_entries;
+mod poll_timing;
+mod relayed_table;
 mod store_write;
+mod table_relay;
+mod zone_reader_client;
 mod zones;
 
 #[doc(inline)]
@@ -21,13 +21,13 @@
 #[doc(inline)]
 pub use feed::{Feed, FeedEvent};
 #[doc(inline)]
-pub use feed_pace::{FeedPace, KEY_AGE_PERCENT, READY_AGE_PERCENT};
+pub use follow::{OwnInstance, follow_instances, follow_routing, follow_servers};
 #[doc(inline)]
-pub use follow::{Own, follow_instances, follow_routing, follow_servers};
+pub use packed_row::{KnownRow, PackedRow, UnpackError};
 #[doc(inline)]
-pub use handed_on::{HandedAnswer, HandedOn, HandedRows, RowsQuestion};
+pub use poll_timing::{KEY_AGE_PERCENT, PollTiming, READY_AGE_PERCENT};
+pub(crate) use store_write::{write_store, write_store_if, write_store_with_retry};
 #[doc(inline)]
-pub use neighbour::{Neighbours, ROWS_PATH};
+pub use table_relay::{RelayAnswer, RelayedRows, RowsRequest, TableRelay};
 #[doc(inline)]
-pub use packed_row::{HeldRow, PackedRow, UnpackError};
-pub(crate) use store_write::{write_store, write_store_if, write_store_until_taken};
+pub use zone_reader_client::{ROWS_PATH, RelayContext};
--- a/crates/amaranthscale/src/gateway/version/feed.rs
+++ b/crates/amaranthscale/src/gateway/version/feed.rs
@@ -1,8 +1,9 @@
 //! Follows one table of the store by long polls.
 //!
-//! A long poll delivers a change at once and costs one call a wait. Its connection may go silent
-//! for good while new ones work, so each poll has its own time-out, after which a new connection
-//! is opened. A history that is gone is answered by reading the whole table again.
+//! A long poll delivers a change at once and costs one call per wait. Its connection may hang
+//! permanently while new ones work, so each poll has a timeout, after which a new connection is
+//! opened. If the history since the last poll is no longer available, the whole table is read
+//! again.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,39 +18,40 @@
 
 use super::super::clock::ms;
 use super::super::{StoreAnswer, StoreApi, StoreRow, StoreRows, StoreTable};
-use super::cluster_view::SLOW_ANSWER;
-use super::feed_pace::YOUNG;
-use super::neighbour::Neighbour;
-use super::{FeedPace, HandedRows, Neighbours, RowsQuestion};
+use super::cluster_view::SLOW_ANSWER_AGE;
+use super::poll_timing::STARTUP_PERIOD;
+use super::zone_reader_client::ZoneReaderClient;
+use super::{PollTiming, RelayContext, RelayedRows, RowsRequest};
 use crate::connection::{Http1Connection, read_body_with_idle_timeout};
 
-/// Longest wait for the answer to a call that does not wait for changes, and for more of an answer that
-/// has begun to come.
-const CALL_PATIENCE: Duration = Duration::from_millis(900);
+/// Timeout for the answer to a call that does not wait for changes, and idle timeout for an answer
+/// that has begun.
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// Wait of the polls after a failed call and after a slow answer.
 ///
-/// Guards against an outage that lasts longer than it did: a poll that waits for changes is answered
-/// at its end, and until then keys stay too old though the store is back. Sent into the outage, it
-/// would also be given up that much later. After an answer that was long on its way, too: what it told
-/// is as old as that.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1);
-/// Time within which an answer begins that did not wait for its change.
-const AT_ONCE: Duration = Duration::from_millis(100);
-/// Largest answer of the store: a row with some sixty thousand routes, a small part of the least memory.
+/// With a longer wait, an outage would last longer for callers than for the store: the poll is
+/// answered only when its wait ends, and until then keys stay too old although the store is back. A
+/// poll sent during the outage would also time out that much later. The same holds after a slow
+/// answer, whose data is as old as the answer took.
+const MIN_WAIT: Duration = Duration::from_millis(1);
+/// Time within which an answer begins if the change existed before the poll.
+const IMMEDIATE_ANSWER: Duration = Duration::from_millis(100);
+/// Maximum size of an answer of the store: a row with some sixty thousand routes, which is a small
+/// part of the smallest host's memory.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
-/// Size from which an answer is decoded and a configuration read beside the requests, each with a line: a
-/// millisecond's work.
-pub(super) const LONG_BYTES: usize = 64 * 1024;
+/// Size from which answers and configurations are decoded on a blocking thread and logged; decoding
+/// one takes about a millisecond.
+pub(super) const LONG_ANSWER_BYTES: usize = 64 * 1024;
 
-/// What a feed tells.
+/// An event of a feed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FeedEvent {
     /// The whole table.
-    All(StoreRows),
-    /// Rows that changed since.
-    Changed(StoreRows),
-    /// The store did not answer, or refused.
-    Lost(String),
+    Snapshot(StoreRows),
+    /// Rows that changed since the last event.
+    Changes(StoreRows),
+    /// The store did not answer or refused the call.
+    Unavailable(String),
 }
 
 /// Follows one table.
@@ -57,65 +59,69 @@
 pub struct Feed {
     table: StoreTable,
     store: StoreApi,
-    pace: FeedPace,
+    timing: PollTiming,
     connection: Option<Http1Connection>,
     position: Option<RowVersion>,
-    /// The store's clock as of which the table is known.
+    /// The store's clock as of the last event.
     clock: Duration,
-    neighbour: Option<Neighbour>,
+    reader_client: Option<ZoneReaderClient>,
     /// Whether the last call to the store failed.
-    is_lost: bool,
-    /// Whether nothing came since the whole table.
-    is_first: bool,
-    /// When the last answer began to come, by a clock that goes on while the machine is suspended.
-    heard_at: Duration,
+    is_store_unavailable: bool,
+    /// Whether the last event was the whole table.
+    is_after_snapshot: bool,
+    /// When the last answer began, by the clock that also counts while the host is suspended.
+    received_at: Duration,
     started: Instant,
 }
 
 impl Feed {
-    /// A feed that starts with the whole table.
+    /// Creates a feed, whose first event is the whole table.
     #[must_use]
-    pub fn new(table: StoreTable, store: StoreApi, pace: FeedPace) -> Self {
+    pub fn new(table: StoreTable, store: StoreApi, timing: PollTiming) -> Self {
         Self {
             table,
             store,
-            pace,
+            timing,
             connection: None,
             position: None,
             clock: Duration::ZERO,
-            neighbour: None,
-            is_lost: false,
-            is_first: true,
-            heard_at: Duration::ZERO,
+            reader_client: None,
+            is_store_unavailable: false,
+            is_after_snapshot: true,
+            received_at: Duration::ZERO,
             started: Instant::now(),
         }
     }
 
-    /// Asks a neighbour in place of the store where one reads it for others, and hands on what it
-    /// hears. The first answer is always the store's own: by it the later ones are dated.
+    /// Reads from the zone reader in place of the store where there is one, and relays events to
+    /// other gateways. The first answer always comes from the store, as the age of later ones is
+    /// computed from it.
     #[must_use]
-    pub fn beside(mut self, neighbours: Neighbours) -> Self {
-        self.neighbour = Some(Neighbour::new(neighbours, self.table.name()));
+    pub fn with_relay(mut self, relay_context: RelayContext) -> Self {
+        self.reader_client = Some(ZoneReaderClient::new(relay_context, self.table.name()));
         self
     }
 
-    /// When the answer that the last event came from began to come: it is no newer than that, however
-    /// long the rest of it took.
+    /// When the answer of the last event began; its data is no newer than that, however long the
+    /// rest of it took.
     #[must_use]
-    pub const fn heard_at(&self) -> Duration {
-        self.heard_at
+    pub const fn received_at(&self) -> Duration {
+        self.received_at
     }
 
     /// The next event; a failure is followed by a pause.
     pub async fn next(&mut self) -> FeedEvent {
         let event = self.read().await;
-        self.is_lost = matches!(event, FeedEvent::Lost(_));
-        self.is_first = matches!(event, FeedEvent::All(_));
-        if let FeedEvent::All(rows) | FeedEvent::Changed(rows) = &event {
+        self.is_store_unavailable = matches!(event, FeedEvent::Unavailable(_));
+        self.is_after_snapshot = matches!(event, FeedEvent::Snapshot(_));
+        if let FeedEvent::Snapshot(rows) | FeedEvent::Changes(rows) = &event {
             self.clock = self.clock.max(rows.clock);
         }
-        if let Some(neighbour) = &self.neighbour {
-            neighbour.with().handed_on.note(self.table, &event);
+        if let Some(reader_client) = &self.reader_client {
+            reader_client
+                .context()
+                .table_relay
+                .record(self.table, &event);
         }
         event
     }
@@ -123,100 +129,110 @@
     async fn read(&mut self) -> FeedEvent {
         loop {
             if let Some(position) = self.position
-                && let Some(event) = self.ask_neighbour(position).await
+                && let Some(event) = self.read_from_zone_reader(position).await
             {
                 return event;
             }
             let event = match self.position {
-                None => self.read_all().await.map(|rows| Some(FeedEvent::All(rows))),
-                Some(position) => self.read_changes(position).await,
+                None => self
+                    .read_snapshot()
+                    .await
+                    .map(|rows| Some(FeedEvent::Snapshot(rows))),
+                Some(position) => self.poll_changes(position).await,
             };
             match event {
                 Ok(Some(event)) => return event,
                 Ok(None) => {}
                 Err(reason) => {
                     self.connection = None;
-                    if let Some(neighbour) = &self.neighbour {
-                        neighbour.with().counters.count("store.calls-lost");
+                    if let Some(reader_client) = &self.reader_client {
+                        reader_client.context().counters.count("store.calls-lost");
                     }
-                    tokio::time::sleep(self.pace.after_failure).await;
-                    return FeedEvent::Lost(reason);
+                    tokio::time::sleep(self.timing.failure_pause).await;
+                    return FeedEvent::Unavailable(reason);
                 }
             }
         }
     }
 
-    /// Asks the neighbour that reads the store for this gateway; none if the store is to be asked.
+    /// Reads from the zone reader; `None` if the store is to be read instead.
     ///
-    /// A neighbour that fails, or has nothing newer to tell within the pace, is left out and the
-    /// store asked at once. Where the store fails as well, the neighbour's word is waited for: when
-    /// the store is back, one call of a zone tells all.
-    async fn ask_neighbour(&mut self, position: RowVersion) -> Option<FeedEvent> {
-        let is_lost = self.is_lost;
-        let neighbour = self.neighbour.as_mut()?;
-        let (id, address) = neighbour.choose(is_lost)?;
+    /// A zone reader that fails, or has nothing newer within the expected time, is excluded and the
+    /// store read at once. While the store is unavailable too, the zone reader's answer is waited
+    /// for: when the store is back, one call of the zone serves all its gateways.
+    async fn read_from_zone_reader(&mut self, position: RowVersion) -> Option<FeedEvent> {
+        let is_store_unavailable = self.is_store_unavailable;
+        let reader_client = self.reader_client.as_mut()?;
+        let (id, address) = reader_client.choose_reader(is_store_unavailable)?;
         self.connection = None;
-        let question = RowsQuestion {
+        let rows_request = RowsRequest {
             table: self.table,
             after: position,
             clock: self.clock,
-            is_lost,
-            held: neighbour.with().handed_on.held(self.table),
+            is_store_unavailable,
+            known_rows: reader_client.context().table_relay.known_rows(self.table),
         };
-        let asked = neighbour.ask(&id, address, question, self.pace.handed_silence());
-        let counters = Arc::clone(&neighbour.with().counters);
-        let answered = asked.await;
-        // Dated by the store's clock in it and by the store's own first answer.
-        self.heard_at = neighbour.with().cluster_view.clock().now_with_suspend();
-        let reason = match answered {
-            Ok(HandedRows::All(rows)) if rows.clock > self.clock => {
+        let request =
+            reader_client.request_rows(&id, address, rows_request, self.timing.max_relay_silence());
+        let counters = Arc::clone(&reader_client.context().counters);
+        let result = request.await;
+        // The age of the data follows from the store's clock in it and the store's own first
+        // answer.
+        self.received_at = reader_client
+            .context()
+            .cluster_view
+            .clock()
+            .now_with_suspend();
+        let reason = match result {
+            Ok(RelayedRows::All(rows)) if rows.clock > self.clock => {
                 counters.count("store.handed");
                 self.position = Some(rows.version);
-                return Some(FeedEvent::All(rows));
+                return Some(FeedEvent::Snapshot(rows));
             }
-            Ok(HandedRows::Changed(rows)) if rows.clock > self.clock => {
+            Ok(RelayedRows::Changed(rows)) if rows.clock > self.clock => {
                 counters.count("store.handed");
                 self.position = Some(rows.version.max(position));
-                return Some(FeedEvent::Changed(rows));
+                return Some(FeedEvent::Changes(rows));
             }
-            Ok(HandedRows::Part(rows)) if rows.version > position => {
+            Ok(RelayedRows::Part(rows)) if rows.version > position => {
                 counters.count("store.handed");
                 self.position = Some(rows.version);
-                return Some(FeedEvent::Changed(rows));
+                return Some(FeedEvent::Changes(rows));
             }
-            Ok(HandedRows::TooLarge) => {
+            Ok(RelayedRows::TooLarge) => {
                 counters.count("store.too-large-to-hand-on");
                 return None;
             }
-            Ok(HandedRows::Lost) => "it has lost the store".to_owned(),
-            Ok(_) => "it told nothing new".to_owned(),
+            Ok(RelayedRows::StoreUnavailable) => "it cannot reach the store".to_owned(),
+            Ok(_) => "it has no newer rows".to_owned(),
             Err(reason) => reason,
         };
         counters.count("store.neighbour-lost");
         debug!(
-            "store: {} through {id}: {reason}; asking by itself",
+            "store: {} not read through {id}: {reason}; reading the store",
             self.table.name()
         );
-        neighbour.leave_out(id);
+        reader_client.exclude(id);
         None
     }
 
-    async fn read_all(&mut self) -> Result<StoreRows, String> {
+    async fn read_snapshot(&mut self) -> Result<StoreRows, String> {
         let mut first: Option<(StoreRows, Duration)> = None;
         let mut rows: Vec<StoreRow> = Vec::new();
         loop {
             let after = rows.last().map(|row| row.key.clone());
             let request = (self.store.read)(self.table, after.as_deref());
-            let mut page = match self.call(request, CALL_PATIENCE).await? {
+            let mut page = match self.call(request, CALL_TIMEOUT).await? {
                 StoreAnswer::Rows(page) => page,
                 other => return Err(format!("the store answered {other:?} to a read")),
             };
             let is_last = !page.is_truncated || page.rows.is_empty();
             rows.append(&mut page.rows);
-            // Changes between two pages are told again by the feed: it goes on from the first page.
-            let (first, heard_at) = first.get_or_insert((page, self.heard_at));
+            // The feed continues from the version of the first page, so that changes between two
+            // pages are read again.
+            let (first, received_at) = first.get_or_insert((page, self.received_at));
             if is_last {
-                self.heard_at = *heard_at;
+                self.received_at = *received_at;
                 self.position = Some(first.version);
                 return Ok(StoreRows {
                     rows,
@@ -226,31 +242,31 @@
         }
     }
 
-    async fn read_changes(&mut self, position: RowVersion) -> Result<Option<FeedEvent>, String> {
-        let is_old = self.now().saturating_sub(self.heard_at) > SLOW_ANSWER;
-        // A whole answer gives its connection back, so none is there only after a failed call.
-        let wait = if self.connection.is_none() || is_old {
-            SHORTEST_WAIT
+    async fn poll_changes(&mut self, position: RowVersion) -> Result<Option<FeedEvent>, String> {
+        let is_stale = self.now().saturating_sub(self.received_at) > SLOW_ANSWER_AGE;
+        // A complete answer returns its connection, so there is none only after a failed call.
+        let wait = if self.connection.is_none() || is_stale {
+            MIN_WAIT
         } else {
-            let is_young = self.started.elapsed() < YOUNG;
-            let between = if is_young {
-                self.pace.between_young
+            let is_starting = self.started.elapsed() < STARTUP_PERIOD;
+            let interval = if is_starting {
+                self.timing.startup_interval
             } else {
-                self.pace.between
+                self.timing.interval
             };
-            tokio::time::sleep(between).await;
+            tokio::time::sleep(interval).await;
             self.wait()
         };
         let request = (self.store.watch)(self.table, position, wait);
-        let patience = wait + CALL_PATIENCE;
-        match self.call(request, patience).await? {
+        let timeout = wait + CALL_TIMEOUT;
+        match self.call(request, timeout).await? {
             StoreAnswer::Rows(rows) => {
                 self.position = Some(rows.version.max(position));
-                Ok(Some(FeedEvent::Changed(rows)))
+                Ok(Some(FeedEvent::Changes(rows)))
             }
             StoreAnswer::HistoryGone => {
                 debug!(
-                    "store: history of {:?} is gone; reading it whole",
+                    "store: history of {:?} is no longer available; reading the whole table",
                     self.table
                 );
                 self.position = None;
@@ -260,89 +276,98 @@
         }
     }
 
-    /// Time of the clock that goes on while the machine is suspended; zero where nothing is dated.
+    /// Time of the clock that also counts while the host is suspended; zero without relay context.
     fn now(&self) -> Duration {
-        let cluster_view = self.neighbour.as_ref().map(|one| &one.with().cluster_view);
-        cluster_view.map_or(Duration::ZERO, |known| known.clock().now_with_suspend())
+        let cluster_view = self
+            .reader_client
+            .as_ref()
+            .map(|one| &one.context().cluster_view);
+        cluster_view.map_or(Duration::ZERO, |view| view.clock().now_with_suspend())
     }
 
-    /// Longest wait of the next poll.
+    /// Wait of the next poll.
     fn wait(&self) -> Duration {
-        let is_handed_on = self.neighbour.as_ref().is_some_and(|neighbour| {
-            neighbour.reads_for_others() || neighbour.with().handed_on.is_asked(self.table)
+        let is_relayed = self.reader_client.as_ref().is_some_and(|reader_client| {
+            reader_client.is_zone_reader()
+                || reader_client
+                    .context()
+                    .table_relay
+                    .has_recent_requests(self.table)
         });
-        // After the whole table, the list of gateways may just tell that others follow.
-        if is_handed_on || self.is_first {
-            self.pace.handed_wait
+        // Right after the whole table was read, it is not known yet whether other gateways read
+        // from this one.
+        if is_relayed || self.is_after_snapshot {
+            self.timing.relay_wait
         } else {
-            self.pace.wait
+            self.timing.wait
         }
     }
 
     async fn call(
         &mut self,
         request: Request<Full<Bytes>>,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<StoreAnswer, String> {
-        if let Some(neighbour) = &self.neighbour {
-            neighbour.with().counters.count("store.calls");
+        if let Some(reader_client) = &self.reader_client {
+            reader_client.context().counters.count("store.calls");
         }
         let connection = match self.connection.take().filter(Http1Connection::is_ready) {
             Some(connection) => connection,
-            None => Http1Connection::open(self.store.address, CALL_PATIENCE)
+            None => Http1Connection::open(self.store.address, CALL_TIMEOUT)
                 .await
                 .map_err(|error| error.to_string())?,
         };
-        let (asked_at, mut heard_at) = (self.now(), Duration::ZERO);
-        let begun = |told_bytes: usize| {
-            heard_at = self.now();
-            // Zones' words are short, so a long answer holds a routing.
+        let (sent_at, mut received_at) = (self.now(), Duration::ZERO);
+        let on_begin = |content_length: usize| {
+            received_at = self.now();
+            // Rows of zones are short, so a long answer contains a routing.
             if self.table == StoreTable::Routing
-                && told_bytes > LONG_BYTES
-                && let Some(neighbour) = &self.neighbour
+                && content_length > LONG_ANSWER_BYTES
+                && let Some(reader_client) = &self.reader_client
             {
-                let answered_at_once = heard_at.saturating_sub(asked_at) < AT_ONCE;
-                neighbour
-                    .with()
+                let is_immediate = received_at.saturating_sub(sent_at) < IMMEDIATE_ANSWER;
+                reader_client
+                    .context()
                     .cluster_view
-                    .newer_has_begun(answered_at_once);
+                    .mark_newer_routing(is_immediate);
             }
         };
-        let called = call_store(&self.store, connection, request, patience, begun).await;
-        let (answer, connection) = called?;
-        self.heard_at = heard_at;
+        let result = call_store(&self.store, connection, request, timeout, on_begin).await;
+        let (answer, connection) = result?;
+        self.received_at = received_at;
         self.connection = Some(connection);
         Ok(answer)
     }
 }
 
-/// Sends one call; the connection comes back only after a whole answer. Calls a function as the answer
-/// begins, with the bytes that its head tells.
+/// Sends one call; returns the connection only after a complete answer. Calls `on_begin` when the
+/// answer begins, with the length stated in its head.
 ///
-/// The patience is with the beginning of the answer: once it comes, it is read for as long as more of it
-/// does. An answer that is given up for its length would be begun anew by the next call, and never end.
+/// The timeout is for the beginning of the answer; the rest is read as long as data arrives. An
+/// answer that was abandoned for taking long would start over with the next call and never be
+/// complete.
 pub(super) async fn call_store(
     store: &StoreApi,
     mut connection: Http1Connection,
     request: Request<Full<Bytes>>,
-    patience: Duration,
-    begun: impl FnOnce(usize),
+    timeout: Duration,
+    on_begin: impl FnOnce(usize),
 ) -> Result<(StoreAnswer, Http1Connection), String> {
-    let response = tokio::time::timeout(patience, connection.send(request))
+    let response = tokio::time::timeout(timeout, connection.send(request))
         .await
-        .map_err(|_elapsed| format!("no answer within {} ms", patience.as_millis()))?
+        .map_err(|_elapsed| format!("no answer within {} ms", timeout.as_millis()))?
         .map_err(|error| error.to_string())?;
-    let told_bytes = response.body().size_hint().lower();
-    begun(usize::try_from(told_bytes).unwrap_or(usize::MAX));
+    let content_length = response.body().size_hint().lower();
+    on_begin(usize::try_from(content_length).unwrap_or(usize::MAX));
     let status = response.status();
-    let answered = Instant::now();
-    let body = read_body_with_idle_timeout(response.into_body(), MAX_ANSWER_BYTES, CALL_PATIENCE)
+    let head_received = Instant::now();
+    let body = read_body_with_idle_timeout(response.into_body(), MAX_ANSWER_BYTES, CALL_TIMEOUT)
         .await
         .map_err(|error| error.to_string())?;
-    let transfer = answered.elapsed();
+    let transfer = head_received.elapsed();
     let decode = store.parse_answer;
     let bytes = body.len();
-    if bytes <= LONG_BYTES {
+    if bytes <= LONG_ANSWER_BYTES {
         return Ok((decode(status, &body)?, connection));
     }
     let received = Instant::now();
--- a/crates/amaranthscale/src/gateway/version/follow.rs
+++ b/crates/amaranthscale/src/gateway/version/follow.rs
@@ -1,4 +1,4 @@
-//! Keeps what is known up to date from the store's feeds.
+//! Keeps the cluster view up to date with the store's feeds.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,70 +14,70 @@
 use super::super::process::{CrashTracker, LimitTracker, ShutdownGate};
 use super::super::{EvidenceUpdate, LimitUpdate, StoreApi, StoreRow, StoreTable, StoredValue};
 use super::announce::{announce_instance, withdraw_instance};
-use super::feed::LONG_BYTES;
-use super::line_budget::LineBudget;
-use super::refused_entries::RefusedEntries;
-use super::zones::{take_zones, zone_changes};
-use super::{ClusterView, Feed, FeedEvent, FeedPace, Neighbours};
+use super::feed::LONG_ANSWER_BYTES;
+use super::invalid_entry_log::InvalidEntryLog;
+use super::log_limiter::LogLimiter;
+use super::zones::{apply_zone_changes, parse_zone_changes};
+use super::{ClusterView, Feed, FeedEvent, PollTiming, RelayContext};
 use crate::process::Latencies;
 
-/// Follows the routing for good.
+/// Follows the routing as long as the gateway runs.
 pub async fn follow_routing(
     store: StoreApi,
-    neighbours: Neighbours,
+    relay_context: RelayContext,
     latencies: Arc<Latencies>,
-    pace: FeedPace,
+    timing: PollTiming,
 ) {
-    let cluster_view = Arc::clone(&neighbours.cluster_view);
-    let counters = Arc::clone(&neighbours.counters);
-    let mut feed = Feed::new(StoreTable::Routing, store.clone(), pace).beside(neighbours);
-    let mut link = Link::new("routing");
-    let mut refusals = RefusedEntries::new("zones");
+    let cluster_view = Arc::clone(&relay_context.cluster_view);
+    let counters = Arc::clone(&relay_context.counters);
+    let mut feed = Feed::new(StoreTable::Routing, store.clone(), timing).with_relay(relay_context);
+    let mut link = StoreLink::new("routing");
+    let mut invalid_entries = InvalidEntryLog::new("zones");
     loop {
-        let was_up = link.is_up;
+        let was_available = link.is_available;
         let event = feed.next().await;
-        link.note(&event);
-        let is_whole = matches!(event, FeedEvent::All(_));
+        link.record(&event);
+        let is_snapshot = matches!(event, FeedEvent::Snapshot(_));
         let rows = match event {
-            FeedEvent::All(rows) | FeedEvent::Changed(rows) => rows,
-            FeedEvent::Lost(_) => {
-                if !was_up {
-                    cluster_view.nothing_newer_is_to_be_had();
+            FeedEvent::Snapshot(rows) | FeedEvent::Changes(rows) => rows,
+            FeedEvent::Unavailable(_) => {
+                if !was_available {
+                    cluster_view.mark_store_unavailable();
                 }
                 continue;
             }
         };
-        // Before the routing: a long one takes its time to read.
-        let zones = zone_changes(&store, &rows.rows, &mut refusals);
-        let taken = take_zones(&cluster_view, zones, is_whole);
-        counters.add("zones.changed", taken);
+        // Applied before the routing, as parsing a long one takes time.
+        let zones = parse_zone_changes(&store, &rows.rows, &mut invalid_entries);
+        let changed_zones = apply_zone_changes(&cluster_view, zones, is_snapshot);
+        counters.add("zones.changed", changed_zones);
         for row in rows.rows {
             match read_routing(&store, row).await {
                 Ok(Some(routing)) => {
-                    if let Some(delay) = cluster_view.take_routing(routing, rows.clock) {
+                    if let Some(delay) = cluster_view.apply_routing(routing, rows.clock) {
                         latencies.record("routing.in-force", delay);
                     }
                 }
                 Ok(None) => {}
-                // The last good version stays in force.
+                // The last valid version stays in force.
                 Err(reason) => warn!(reason = reason.as_str(); "routing: version refused"),
             }
         }
-        cluster_view.confirm(rows.clock, feed.heard_at());
+        cluster_view.record_routing_answer(rows.clock, feed.received_at());
     }
 }
 
-/// Reads the routing from its row, a long one beside the requests.
+/// Parses the routing from its row, a long one on a blocking thread.
 ///
-/// Guards against requests that wait behind it: a configuration of thousands of routes takes tens
-/// of milliseconds to read, and ten times that on a machine with a tenth of a core.
+/// A configuration of thousands of routes takes tens of milliseconds to parse, and ten times that
+/// on a host with a tenth of a core. Requests must not wait for it.
 async fn read_routing(store: &StoreApi, row: StoreRow) -> Result<Option<Routing>, String> {
     let bytes = match &row.value {
         StoredValue::Content(content) => content.len(),
         StoredValue::Unreadable(_) | StoredValue::Dropped => 0,
     };
     let read = store.parse_routing;
-    if bytes <= LONG_BYTES {
+    if bytes <= LONG_ANSWER_BYTES {
         return read(&row);
     }
     let started = Instant::now();
@@ -87,23 +87,23 @@
     reading.map_err(|error| error.to_string())?
 }
 
-/// Follows the servers for good.
-pub async fn follow_servers(store: StoreApi, neighbours: Neighbours, pace: FeedPace) {
-    let cluster_view = Arc::clone(&neighbours.cluster_view);
-    let mut feed = Feed::new(StoreTable::Servers, store.clone(), pace).beside(neighbours);
-    let mut link = Link::new("servers");
-    let mut refusals = RefusedEntries::new("servers");
-    let mut lines = LineBudget::new();
+/// Follows the servers as long as the gateway runs.
+pub async fn follow_servers(store: StoreApi, relay_context: RelayContext, timing: PollTiming) {
+    let cluster_view = Arc::clone(&relay_context.cluster_view);
+    let mut feed = Feed::new(StoreTable::Servers, store.clone(), timing).with_relay(relay_context);
+    let mut link = StoreLink::new("servers");
+    let mut invalid_entries = InvalidEntryLog::new("servers");
+    let mut log_limiter = LogLimiter::new();
     loop {
         let event = feed.next().await;
-        link.note(&event);
+        link.record(&event);
         match event {
-            FeedEvent::Lost(_) => cluster_view.change_servers(|servers, _now| {
+            FeedEvent::Unavailable(_) => cluster_view.change_servers(|servers, _now| {
                 servers.store_lost();
                 false
             }),
-            FeedEvent::All(rows) => {
-                let entries = changes(&store, &rows.rows, &mut refusals);
+            FeedEvent::Snapshot(rows) => {
+                let entries = parse_server_changes(&store, &rows.rows, &mut invalid_entries);
                 info!(servers = entries.len(); "servers: listed");
                 cluster_view.change_servers(|servers, now| {
                     servers.store_answered(now);
@@ -111,184 +111,202 @@
                     true
                 });
             }
-            FeedEvent::Changed(rows) => {
-                let changes = changes(&store, &rows.rows, &mut refusals);
-                cluster_view
-                    .change_servers(|servers, now| take_changes(servers, changes, &mut lines, now));
+            FeedEvent::Changes(rows) => {
+                let changes = parse_server_changes(&store, &rows.rows, &mut invalid_entries);
+                cluster_view.change_servers(|servers, now| {
+                    apply_server_changes(servers, changes, &mut log_limiter, now)
+                });
             }
         }
         if let Some(until) = cluster_view.servers().expired_until() {
-            tokio::spawn(drop_lapsed_at(Arc::clone(&cluster_view), until));
+            tokio::spawn(drop_expired_at(Arc::clone(&cluster_view), until));
         }
     }
 }
 
-/// Drops what lapsed at its time, whatever the feed waits for.
-async fn drop_lapsed_at(cluster_view: Arc<ClusterView>, until: Duration) {
+/// Drops expired servers when their grace period ends, even while the feed waits.
+async fn drop_expired_at(cluster_view: Arc<ClusterView>, until: Duration) {
     tokio::time::sleep(until.saturating_sub(cluster_view.clock().now())).await;
-    cluster_view.change_servers(drop_lapsed);
+    cluster_view.change_servers(drop_expired);
 }
 
-/// Follows the gateways for good, and announces this one again if its announcement is gone.
-pub async fn follow_instances(store: StoreApi, neighbours: Neighbours, own: Own, pace: FeedPace) {
-    let cluster_view = Arc::clone(&neighbours.cluster_view);
-    let mut feed = Feed::new(StoreTable::Instances, store.clone(), pace).beside(neighbours);
-    let mut refusals = RefusedEntries::new("gateways");
-    let mut turnover = Turnover::new();
+/// Follows the gateways as long as this one runs, and announces it again if its announcement is
+/// removed.
+pub async fn follow_instances(
+    store: StoreApi,
+    relay_context: RelayContext,
+    own: OwnInstance,
+    timing: PollTiming,
+) {
+    let cluster_view = Arc::clone(&relay_context.cluster_view);
+    let mut feed =
+        Feed::new(StoreTable::Instances, store.clone(), timing).with_relay(relay_context);
+    let mut invalid_entries = InvalidEntryLog::new("gateways");
+    let mut membership_changes = MembershipChanges::new();
     loop {
-        let (rows, is_whole) = match feed.next().await {
-            FeedEvent::Lost(_) => continue,
-            FeedEvent::All(rows) => (rows.rows, true),
-            FeedEvent::Changed(rows) => (rows.rows, false),
+        let (rows, is_snapshot) = match feed.next().await {
+            FeedEvent::Unavailable(_) => continue,
+            FeedEvent::Snapshot(rows) => (rows.rows, true),
+            FeedEvent::Changes(rows) => (rows.rows, false),
         };
-        let told: Vec<_> = rows.iter().map(|row| told_by(&store, row)).collect();
-        if is_whole {
-            keep_only(&own, &told);
+        let parsed: Vec<_> = rows
+            .iter()
+            .map(|row| parse_gateway_row(&store, row))
+            .collect();
+        if is_snapshot {
+            retain_listed(&own, &parsed);
             let ids = rows.iter().filter_map(|row| row.key.parse().ok());
             let ids: Vec<_> = ids.collect();
             cluster_view.change_instances(|instances| instances.retain_listed(&ids));
-            // Removed while nothing was told, as while the store had lost its history.
+            // The announcement may have been removed without an event, as when the store lost its
+            // history.
             if own.is_announced.load(Ordering::Acquire) && !ids.contains(&own.instance) {
-                announce_again(&store, &own);
+                reannounce(&store, &own);
             }
         }
-        for (row, told) in rows.iter().zip(told) {
-            match told {
-                Ok(Told::Evidence((id, evidence))) => own.crashes.apply_published(id, evidence),
-                Ok(Told::Limit((server, limit))) => own.limits.apply_published(&server, limit),
-                Ok(Told::Instance) => {
-                    take_instance(
+        for (row, parsed) in rows.iter().zip(parsed) {
+            match parsed {
+                Ok(RowKind::Evidence((id, evidence))) => own.crashes.apply_published(id, evidence),
+                Ok(RowKind::Limit((server, limit))) => own.limits.apply_published(&server, limit),
+                Ok(RowKind::Instance) => {
+                    apply_announcement(
                         &store,
                         &cluster_view,
                         &own,
                         row,
-                        &mut refusals,
-                        &mut turnover,
+                        &mut invalid_entries,
+                        &mut membership_changes,
                     );
                 }
-                Err(reason) => refusals.note(&row.key, &reason),
+                Err(reason) => invalid_entries.record(&row.key, &reason),
             }
         }
-        turnover.log(cluster_view.live());
-        for forgotten in cluster_view.forgotten() {
-            withdraw_instance(&store, &forgotten).await;
+        membership_changes.log(cluster_view.live_count());
+        for expired in cluster_view.expired() {
+            withdraw_instance(&store, &expired).await;
         }
     }
 }
 
-/// What a row of the gateways' table is about.
+/// Parsed content of a row of the gateways' table, by kind.
 #[derive(Debug)]
-enum Told {
+enum RowKind {
     Evidence(EvidenceUpdate),
     Limit(LimitUpdate),
     Instance,
 }
 
-fn told_by(store: &StoreApi, row: &StoreRow) -> Result<Told, String> {
+fn parse_gateway_row(store: &StoreApi, row: &StoreRow) -> Result<RowKind, String> {
     if let Some(evidence) = (store.parse_evidence)(row)? {
-        return Ok(Told::Evidence(evidence));
+        return Ok(RowKind::Evidence(evidence));
     }
     let limit = (store.parse_limit)(row)?;
-    Ok(limit.map_or(Told::Instance, Told::Limit))
+    Ok(limit.map_or(RowKind::Instance, RowKind::Limit))
 }
 
-/// Drops what a whole table names no more.
-fn keep_only(own: &Own, told: &[Result<Told, String>]) {
+/// Drops evidence and limits that a full read of the table does not contain.
+fn retain_listed(own: &OwnInstance, parsed: &[Result<RowKind, String>]) {
     let (mut evidence, mut limited) = (Vec::new(), Vec::new());
-    for told in told.iter().flatten() {
-        match told {
-            Told::Evidence((id, _)) => evidence.push(id.clone()),
-            Told::Limit((server, _)) => limited.push(server.clone()),
-            Told::Instance => {}
+    for parsed in parsed.iter().flatten() {
+        match parsed {
+            RowKind::Evidence((id, _)) => evidence.push(id.clone()),
+            RowKind::Limit((server, _)) => limited.push(server.clone()),
+            RowKind::Instance => {}
         }
     }
     own.crashes.retain_published(&evidence);
     own.limits.retain_published(&limited);
 }
 
-/// The gateway itself, as it announces itself.
+/// This gateway's own announcement and the state that its followers update.
 #[derive(Debug, Clone)]
-pub struct Own {
-    /// This life of the gateway.
+pub struct OwnInstance {
+    /// Id of this incarnation of the gateway.
     pub instance: InstanceId,
-    /// What it announces.
+    /// Its announcement.
     pub announcement: Announcement,
-    /// Whether it stops, and so announces itself no more.
+    /// Whether it is stopping and must not announce itself again.
     pub shutdown: Arc<ShutdownGate>,
-    /// What it knows of crashed servers.
+    /// Evidence of crashed servers.
     pub crashes: Arc<CrashTracker>,
-    /// What it knows of servers' limits.
+    /// Rate limits of servers.
     pub limits: Arc<LimitTracker>,
-    /// Whether the store has taken its announcement.
+    /// Whether the store has accepted its announcement.
     pub is_announced: Arc<AtomicBool>,
 }
 
-fn take_instance(
+fn apply_announcement(
     store: &StoreApi,
     cluster_view: &ClusterView,
-    own: &Own,
+    own: &OwnInstance,
     row: &StoreRow,
-    refusals: &mut RefusedEntries,
-    turnover: &mut Turnover,
+    invalid_entries: &mut InvalidEntryLog,
+    membership_changes: &mut MembershipChanges,
 ) {
     let id: InstanceId = match row.key.parse() {
         Ok(id) => id,
-        Err(error) => return refusals.note(&row.key, &error.to_string()),
+        Err(error) => return invalid_entries.record(&row.key, &error.to_string()),
     };
     match row.value.read(store.parse_announcement) {
         Ok(None) => {
-            turnover.gone += 1;
-            gone(store, cluster_view, own, &id);
+            membership_changes.gone += 1;
+            remove_instance(store, cluster_view, own, &id);
         }
         Ok(Some(announcement)) => {
             let since = row.version;
             if announcement.address == own.announcement.address && id != own.instance {
-                // An earlier life here ended without a word; nobody else can tell it from this one.
+                // An earlier incarnation at this address ended without a withdrawal. Other gateways
+                // cannot tell it from this one.
                 let (store, ended) = (store.clone(), id.clone());
                 tokio::spawn(async move { withdraw_instance(&store, &ended).await });
             }
             let is_new = cluster_view
                 .change_instances(|instances| instances.announced(id, announcement, since));
-            turnover.announced += u64::from(is_new);
+            membership_changes.announced += u64::from(is_new);
         }
         Err(reason) => {
-            // Another writer's, also where a gateway had announced itself under that name.
-            refusals.note(&row.key, &reason);
-            turnover.gone += 1;
-            gone(store, cluster_view, own, &id);
+            // Written by another writer, perhaps over a gateway's announcement.
+            invalid_entries.record(&row.key, &reason);
+            membership_changes.gone += 1;
+            remove_instance(store, cluster_view, own, &id);
         }
     }
 }
 
-fn gone(store: &StoreApi, cluster_view: &ClusterView, own: &Own, id: &InstanceId) {
+fn remove_instance(
+    store: &StoreApi,
+    cluster_view: &ClusterView,
+    own: &OwnInstance,
+    id: &InstanceId,
+) {
     if *id == own.instance {
-        announce_again(store, own);
+        reannounce(store, own);
     }
     cluster_view.change_instances(|instances| instances.withdrawn(id));
 }
 
-/// Gateways that came and went since it was last told.
+/// Numbers of gateways that were announced and removed since the last log line.
 ///
-/// Told in sums: when all gateways of a large deployment are restarted in turn, a line of each about
-/// each of the others is ten thousand lines. What became of one of them is in its own lines.
+/// Only sums are logged: when all gateways of a large deployment are restarted in turn, a line of
+/// each about each other one would be ten thousand lines. Each gateway logs its own start and stop.
 #[derive(Debug)]
-struct Turnover {
+struct MembershipChanges {
     announced: u64,
     gone: u64,
-    lines: LineBudget,
+    log_limiter: LogLimiter,
 }
 
-impl Turnover {
+impl MembershipChanges {
     fn new() -> Self {
         Self {
             announced: 0,
             gone: 0,
-            lines: LineBudget::new(),
+            log_limiter: LogLimiter::new(),
         }
     }
 
     fn log(&mut self, live: usize) {
-        if self.announced + self.gone == 0 || self.lines.take().is_none() {
+        if self.announced + self.gone == 0 || self.log_limiter.allow().is_none() {
             return;
         }
         let (announced, gone) = (self.announced, self.gone);
@@ -298,33 +316,34 @@
     }
 }
 
-/// Announces this gateway anew: another one took it for dead, but it lives.
-fn announce_again(store: &StoreApi, own: &Own) {
+/// Announces this gateway again after another one removed its announcement as that of a failed
+/// gateway.
+fn reannounce(store: &StoreApi, own: &OwnInstance) {
     if own.shutdown.is_stopping() {
         return;
     }
     tokio::spawn(announce_instance(store.clone(), own.clone()));
 }
 
-fn take_changes(
+fn apply_server_changes(
     servers: &mut ServerList,
     changes: Vec<ServerChange>,
-    lines: &mut LineBudget,
+    log_limiter: &mut LogLimiter,
     now: Duration,
 ) -> bool {
     servers.store_answered(now);
     let mut is_changed = false;
     for change in changes {
         if servers.apply_change(change.clone(), now) {
-            log_change(&change, lines);
+            log_change(&change, log_limiter);
             is_changed = true;
         }
     }
     is_changed
 }
 
-fn log_change(change: &ServerChange, lines: &mut LineBudget) {
-    let Some(left_out) = lines.take() else {
+fn log_change(change: &ServerChange, log_limiter: &mut LogLimiter) {
+    let Some(left_out) = log_limiter.allow() else {
         return;
     };
     match change {
@@ -350,66 +369,75 @@
     }
 }
 
-fn drop_lapsed(servers: &mut ServerList, now: Duration) -> bool {
+fn drop_expired(servers: &mut ServerList, now: Duration) -> bool {
     let dropped = servers.drop_expired(now);
     for id in &dropped {
         let grace_ms = ms(EXPIRY_GRACE);
-        info!(server = id.as_str(), grace_ms; "servers: gone after the store's return");
+        info!(server = id.as_str(), grace_ms; "servers: expired after the store's return");
     }
     !dropped.is_empty()
 }
 
-fn changes(
+fn parse_server_changes(
     store: &StoreApi,
     rows: &[StoreRow],
-    refusals: &mut RefusedEntries,
+    invalid_entries: &mut InvalidEntryLog,
 ) -> Vec<ServerChange> {
-    let changes = rows.iter().filter_map(|row| change(store, row, refusals));
+    let changes = rows
+        .iter()
+        .filter_map(|row| parse_server_change(store, row, invalid_entries));
     changes.collect()
 }
 
-/// What a row says of a server; none if its key can be no server's id.
-fn change(store: &StoreApi, row: &StoreRow, refusals: &mut RefusedEntries) -> Option<ServerChange> {
+/// Parses a server's row; `None` if its key is not a valid server id.
+fn parse_server_change(
+    store: &StoreApi,
+    row: &StoreRow,
+    invalid_entries: &mut InvalidEntryLog,
+) -> Option<ServerChange> {
     let id: ServerId = match row.key.parse() {
         Ok(id) => id,
         Err(error) => {
-            refusals.note(&row.key, &error.to_string());
+            invalid_entries.record(&row.key, &error.to_string());
             return None;
         }
     };
     let read = row.value.read(|content| (store.parse_server)(&id, content));
     match &read {
-        Ok(_) => refusals.forget(&row.key),
-        Err(reason) => refusals.note(&row.key, reason),
+        Ok(_) => invalid_entries.remove(&row.key),
+        Err(reason) => invalid_entries.record(&row.key, reason),
     }
     Some(match read {
         Ok(Some(record)) => ServerChange::Listed(record),
         Ok(None) => ServerChange::Removed(id),
-        Err(_told) => ServerChange::Unreadable(id),
+        Err(_reason) => ServerChange::Unreadable(id),
     })
 }
 
-/// Says once that the store was lost, and once that it is back.
+/// Logs once when the store becomes unavailable and once when it is available again.
 #[derive(Debug)]
-struct Link {
+struct StoreLink {
     name: &'static str,
-    is_up: bool,
+    is_available: bool,
 }
 
-impl Link {
+impl StoreLink {
     const fn new(name: &'static str) -> Self {
-        Self { name, is_up: false }
+        Self {
+            name,
+            is_available: false,
+        }
     }
 
-    fn note(&mut self, event: &FeedEvent) {
+    fn record(&mut self, event: &FeedEvent) {
         match event {
-            FeedEvent::Lost(reason) if self.is_up => {
-                warn!(feed = self.name, reason = reason.as_str(); "store: lost");
-                self.is_up = false;
+            FeedEvent::Unavailable(reason) if self.is_available => {
+                warn!(feed = self.name, reason = reason.as_str(); "store: unavailable");
+                self.is_available = false;
             }
-            FeedEvent::All(_) | FeedEvent::Changed(_) if !self.is_up => {
-                info!(feed = self.name; "store: answers");
-                self.is_up = true;
+            FeedEvent::Snapshot(_) | FeedEvent::Changes(_) if !self.is_available => {
+                info!(feed = self.name; "store: available");
+                self.is_available = true;
             }
             _ => {}
         }
--- a/crates/amaranthscale/src/gateway/version/packed_row.rs
+++ b/crates/amaranthscale/src/gateway/version/packed_row.rs
@@ -1,8 +1,8 @@
-//! Long rows on their way between gateways.
+//! Compression of long rows that are relayed between gateways.
 //!
-//! A configuration of thousands of routes is written whole at each change, however small. It is handed on
-//! compressed, and against the version that the one who asks holds already, so that a change that
-//! changes little costs little on its way.
+//! A configuration of thousands of routes is written as a whole at each change, however small. It
+//! is relayed compressed against the version that the requesting gateway already has, so that a
+//! small change is a small message.
 
 use std::io::{self, Read, Write};
 
@@ -12,26 +12,27 @@
 use serde::{Deserialize, Serialize};
 use zstd::stream::{Decoder, Encoder};
 
-/// Size of a row from which it is handed on packed.
+/// Size from which a row is relayed packed.
 pub const LONG_ROW_BYTES: usize = 64 * 1024;
-/// Largest content of a packed row.
+/// Maximum size of a packed row's content.
 pub const MAX_CONTENT_BYTES: usize = 16 * 1024 * 1024;
-/// Effort of the compression: on a host with a tenth of a core, more of it takes longer than the bytes that it saves.
+/// Compression level. On a host with a tenth of a core, a higher level takes longer than sending
+/// the bytes that it saves.
 const LEVEL: i32 = 1;
-/// Smallest and largest window that are used, as powers of two.
+/// Minimum and maximum compression window, as exponents of two.
 const WINDOW_LOGS: (u32, u32) = (16, 25);
 
 quick_error! {
-    /// A packed row that cannot be unpacked.
+    /// Error of unpacking a row.
     #[derive(Debug)]
     pub enum UnpackError {
-        /// It is told against a version that is not held here.
+        /// It is packed against a version that is not available here.
         BaseMissing(key: String, base: RowVersion) {
-            display("row {key} is told by its difference to version {base}, which is not held here")
+            display("row {key} is packed against version {base}, which is not available here")
         }
-        /// Its content would be larger than any row.
+        /// Its content would be larger than allowed.
         TooLarge(key: String, content_bytes: usize) {
-            display("row {key} would have {content_bytes} bytes; at most {MAX_CONTENT_BYTES} are taken")
+            display("row {key} would have {content_bytes} bytes; at most {MAX_CONTENT_BYTES} are allowed")
         }
         /// Its bytes cannot be decompressed.
         Malformed(key: String, cause: io::Error) {
@@ -41,9 +42,9 @@
     }
 }
 
-/// A version of a row that a gateway holds.
+/// A version of a row that a gateway has.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldRow {
+pub struct KnownRow {
     /// Key within its table.
     pub key: String,
     /// Version of the row.
@@ -68,7 +69,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PackedRow {
     key: String,
-    /// Version of the same row that it is told against.
+    /// Version of the same row that it is packed against.
     base: Option<RowVersion>,
     content_bytes: usize,
     packed: Bytes,
@@ -81,15 +82,17 @@
         content: &[u8],
         base: Option<(RowVersion, &[u8])>,
     ) -> io::Result<Self> {
-        let known = base.map_or(&[][..], |(_, content)| content);
-        let window_log = (known.len() + content.len()).next_power_of_two().ilog2();
-        let mut packing = Encoder::with_ref_prefix(Vec::new(), LEVEL, known)?;
-        packing.window_log(window_log.clamp(WINDOW_LOGS.0, WINDOW_LOGS.1))?;
-        packing.long_distance_matching(true)?;
-        // A base that is not the same one would be noticed by nothing else.
-        packing.include_checksum(true)?;
-        packing.write_all(content)?;
-        let packed = packing.finish()?;
+        let base_content = base.map_or(&[][..], |(_, content)| content);
+        let window_log = (base_content.len() + content.len())
+            .next_power_of_two()
+            .ilog2();
+        let mut encoder = Encoder::with_ref_prefix(Vec::new(), LEVEL, base_content)?;
+        encoder.window_log(window_log.clamp(WINDOW_LOGS.0, WINDOW_LOGS.1))?;
+        encoder.long_distance_matching(true)?;
+        // Only the checksum detects that a different base is used for unpacking.
+        encoder.include_checksum(true)?;
+        encoder.write_all(content)?;
+        let packed = encoder.finish()?;
         Ok(Self {
             key: key.into(),
             base: base.map(|(version, _)| version),
@@ -98,30 +101,30 @@
         })
     }
 
-    /// Unpacks the content, by that of the base if it has one.
+    /// Unpacks the content, with the content of its base if it has one.
     pub fn unpack(&self, base: Option<&[u8]>) -> Result<Bytes, UnpackError> {
         if self.content_bytes > MAX_CONTENT_BYTES {
             return Err(UnpackError::TooLarge(self.key.clone(), self.content_bytes));
         }
-        let known = match (self.base, base) {
+        let base_content = match (self.base, base) {
             (None, _) => &[][..],
             (Some(_), Some(content)) => content,
             (Some(version), None) => {
                 return Err(UnpackError::BaseMissing(self.key.clone(), version));
             }
         };
-        let content = self.decompress(known);
+        let content = self.decompress(base_content);
         let content = content.map_err(|cause| UnpackError::Malformed(self.key.clone(), cause))?;
         Ok(content.into())
     }
 
-    fn decompress(&self, known: &[u8]) -> io::Result<Vec<u8>> {
-        let mut unpacking = Decoder::with_ref_prefix(&self.packed[..], known)?;
-        unpacking.window_log_max(WINDOW_LOGS.1)?;
+    fn decompress(&self, base_content: &[u8]) -> io::Result<Vec<u8>> {
+        let mut decoder = Decoder::with_ref_prefix(&self.packed[..], base_content)?;
+        decoder.window_log_max(WINDOW_LOGS.1)?;
         let mut content = Vec::with_capacity(self.content_bytes);
-        // One more than is told, so that content that goes on is noticed.
-        let most = u64::try_from(self.content_bytes).unwrap_or(u64::MAX);
-        unpacking.take(most + 1).read_to_end(&mut content)?;
+        // One byte more than stated, so that longer content is detected.
+        let max_bytes = u64::try_from(self.content_bytes).unwrap_or(u64::MAX);
+        decoder.take(max_bytes + 1).read_to_end(&mut content)?;
         if content.len() == self.content_bytes {
             Ok(content)
         } else {
@@ -135,7 +138,7 @@
         &self.key
     }
 
-    /// Version that it is told against.
+    /// Version that it is packed against.
     #[must_use]
     pub const fn base(&self) -> Option<RowVersion> {
         self.base
@@ -147,7 +150,7 @@
         self.content_bytes
     }
 
-    /// Bytes that are handed on.
+    /// Bytes of the packed content.
     #[must_use]
     pub const fn packed_bytes(&self) -> usize {
         self.packed.len()
--- a/crates/amaranthscale/src/gateway/version/store_write.rs
+++ b/crates/amaranthscale/src/gateway/version/store_write.rs
@@ -10,10 +10,10 @@
 use super::feed::call_store;
 use crate::connection::Http1Connection;
 
-/// Longest wait for one write.
-const WRITE_PATIENCE: Duration = Duration::from_secs(1);
+/// Timeout of one write.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Makes one write; an error says that it may not have been made.
+/// Makes one write; after an error it may or may not have been applied.
 pub(crate) async fn write_store(
     store: &StoreApi,
     request: Request<Full<Bytes>>,
@@ -21,29 +21,30 @@
     write_store_if(store, request).await.map(|_is_made| ())
 }
 
-/// Makes a write, again after a pause until the store has taken it; each failure goes to a function.
-pub(crate) async fn write_store_until_taken(
+/// Makes a write, and retries it after a pause until the store accepts it; calls `on_failure` for
+/// each failure.
+pub(crate) async fn write_store_with_retry(
     store: &StoreApi,
     request: impl Fn() -> Request<Full<Bytes>>,
     pause: Duration,
-    failed: impl Fn(&str),
+    on_failure: impl Fn(&str),
 ) {
     while let Err(reason) = write_store(store, request()).await {
-        failed(&reason);
+        on_failure(&reason);
         tokio::time::sleep(pause).await;
     }
 }
 
-/// Makes one write if its condition holds; says whether it did.
+/// Makes one conditional write; returns whether its condition held.
 pub(crate) async fn write_store_if(
     store: &StoreApi,
     request: Request<Full<Bytes>>,
 ) -> Result<bool, String> {
-    let connection = Http1Connection::open(store.address, WRITE_PATIENCE)
+    let connection = Http1Connection::open(store.address, WRITE_TIMEOUT)
         .await
         .map_err(|error| error.to_string())?;
     let (answer, _connection) =
-        call_store(store, connection, request, WRITE_PATIENCE, |_bytes| {}).await?;
+        call_store(store, connection, request, WRITE_TIMEOUT, |_bytes| {}).await?;
     match answer {
         StoreAnswer::Rows(_) => Ok(true),
         StoreAnswer::Conflict => Ok(false),
--- a/crates/amaranthscale/src/gateway/version/zones.rs
+++ b/crates/amaranthscale/src/gateway/version/zones.rs
@@ -1,4 +1,4 @@
-//! Takes operators' words on availability zones.
+//! Applies operators' evacuations of availability zones.
 
 use amaranthscale_core::process::{ZoneChange, ZoneState};
 use log::info;
@@ -6,13 +6,13 @@
 use super::super::clock::ms;
 use super::super::{StoreApi, StoreRow};
 use super::ClusterView;
-use super::refused_entries::RefusedEntries;
+use super::invalid_entry_log::InvalidEntryLog;
 
-/// What rows of the routing's table say of availability zones.
-pub(super) fn zone_changes(
+/// Parses the states of availability zones from rows of the routing table.
+pub(super) fn parse_zone_changes(
     store: &StoreApi,
     rows: &[StoreRow],
-    refusals: &mut RefusedEntries,
+    invalid_entries: &mut InvalidEntryLog,
 ) -> Vec<ZoneChange> {
     let mut changes = Vec::new();
     for row in rows {
@@ -20,34 +20,34 @@
             Ok(None) => {}
             Ok(Some(change)) => {
                 match &change.state {
-                    Ok(_) => refusals.forget(&row.key),
-                    // The zone stays as it is: nothing says that it was taken back.
-                    Err(reason) => refusals.note(&row.key, reason),
+                    Ok(_) => invalid_entries.remove(&row.key),
+                    // The zone keeps its state, as an invalid row does not take it back.
+                    Err(reason) => invalid_entries.record(&row.key, reason),
                 }
                 changes.push(change);
             }
-            Err(reason) => refusals.note(&row.key, &reason),
+            Err(reason) => invalid_entries.record(&row.key, &reason),
         }
     }
     changes
 }
 
-/// Evacuates zones and takes them back; says how many.
-pub(super) fn take_zones(
+/// Evacuates zones and takes them back; returns the number of changed zones.
+pub(super) fn apply_zone_changes(
     cluster_view: &ClusterView,
     changes: Vec<ZoneChange>,
-    is_whole: bool,
+    is_snapshot: bool,
 ) -> u64 {
-    if changes.is_empty() && !is_whole {
+    if changes.is_empty() && !is_snapshot {
         return 0;
     }
     let mut count = 0;
     let age_ms = ms(cluster_view.age().unwrap_or_default());
     cluster_view.change_servers(|servers, now| {
-        let taken = servers.apply_zones(changes, is_whole, now);
-        for (zone, state) in &taken {
-            let in_zone = servers.all().filter(|record| record.zone == *zone);
-            let servers = in_zone.count();
+        let changed_zones = servers.apply_zones(changes, is_snapshot, now);
+        for (zone, state) in &changed_zones {
+            let servers_in_zone = servers.all().filter(|record| record.zone == *zone);
+            let servers = servers_in_zone.count();
             match state {
                 ZoneState::Evacuated(version) => info!(
                     zone = zone.as_str(), version:%, servers, age_ms; "servers: zone evacuated"
@@ -57,8 +57,8 @@
                 }
             }
         }
-        count = u64::try_from(taken.len()).unwrap_or(u64::MAX);
-        !taken.is_empty()
+        count = u64::try_from(changed_zones.len()).unwrap_or(u64::MAX);
+        !changed_zones.is_empty()
     });
     count
 }
--- a/crates/amaranthscale/tests/packed_row.rs
+++ b/crates/amaranthscale/tests/packed_row.rs
@@ -1,4 +1,4 @@
-//! Long rows on their way between gateways.
+//! Compression of long rows that are relayed between gateways.
 
 use amaranthscale::gateway::version::{PackedRow, UnpackError};
 use amaranthscale_core::id::RowVersion;
@@ -34,7 +34,7 @@
     assert_eq!(packed.unpack(None).expect("whole"), content);
 }
 
-/// Guards against a change of one number that costs as much as the whole row.
+/// A change of one number must not cost as much as the whole row.
 #[test]
 fn a_small_change_of_a_large_row_is_small() {
     let (old, new) = (routes(20_000, 15_000), routes(20_000, 9_000));
@@ -51,9 +51,9 @@
     assert_eq!(packed.unpack(Some(&old)).expect("whole"), new);
 }
 
-/// Guards against content that is put together from another version.
+/// Content must not be assembled from a different version.
 #[test]
-fn another_base_is_noticed() {
+fn a_wrong_base_is_detected() {
     let (old, new) = (routes(2_000, 15_000), routes(2_000, 9_000));
     let mut other = old.clone();
     for byte in &mut other[60_000..60_100] {
