--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers, each its own type so that one cannot stand in for another.
+//! Identifiers, each with its own type so that they cannot be mixed up.
 
 mod attempt_id;
 mod name_id;
--- a/crates/core/src/id/attempt_id.rs
+++ b/crates/core/src/id/attempt_id.rs
@@ -6,16 +6,16 @@
 
 use super::{AttemptNumber, RequestId, StageIndex};
 
-/// One try of one stage of one request.
+/// One attempt at one stage of one request.
 ///
-/// An entry never sends the same attempt twice; a repeat takes the next number.
+/// An entry never sends the same attempt twice; a retry has the next number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// Request that the attempt works for.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
     /// Stage within the request's pipeline.
     pub stage: StageIndex,
-    /// Number of the try at this stage.
+    /// Number of the attempt at this stage.
     pub number: AttemptNumber,
 }
 
--- a/crates/core/src/id/name_id.rs
+++ b/crates/core/src/id/name_id.rs
@@ -1,4 +1,4 @@
-//! Identifiers written as short names.
+//! Identifiers that are short names.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,22 +6,22 @@
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-/// Longest accepted name. Names are table keys, and the table bounds its keys.
+/// Longest accepted name. Names are parts of table keys, whose length is limited.
 const MAX_NAME_BYTES: usize = 128;
 
 quick_error! {
-    /// A name that cannot serve as an identifier.
+    /// Error for a name that is not a valid identifier.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum InvalidName {
-        /// Nothing was given.
+        /// The name is empty.
         Empty(kind: &'static str) {
             display("{kind} is empty: give 1 to {MAX_NAME_BYTES} characters")
         }
-        /// More than the longest accepted name.
+        /// The name is longer than the longest accepted one.
         TooLong(kind: &'static str, length_bytes: usize) {
             display("{kind} has {length_bytes} bytes: give at most {MAX_NAME_BYTES}")
         }
-        /// A character outside the accepted set.
+        /// The name contains a character that is not accepted.
         BadCharacter(kind: &'static str, name: String, character: char) {
             display("{kind} {name:?} holds {character:?}: use letters, digits, '-', '_', '.' and ':'")
         }
@@ -50,7 +50,7 @@
         pub struct $name(String);
 
         impl $name {
-            /// Checks a name and takes it.
+            /// Creates an identifier from a valid name.
             pub fn new(name: impl Into<String>) -> Result<Self, InvalidName> {
                 let name = name.into();
                 check_name($kind, &name)?;
@@ -125,23 +125,23 @@
     /// A region of availability zones.
     RegionId, "region");
 name_id!(
-    /// The caller's own key of a call that may not be repeated.
+    /// The key that a caller gives to a non-repeatable call.
     IdempotencyKey, "idempotency key");
 name_id!(
-    /// Marks one conditional write, so that reading a row tells whose write it shows.
+    /// Identifies one conditional write, so that a row shows which write it comes from.
     WriteId, "write id");
 name_id!(
-    /// A backend server; a restart may keep it, so [`super::ServerIncarnation`] names one life.
+    /// A backend server; it may stay the same after a restart, unlike [`super::ServerIncarnation`].
     ServerId, "backend server");
 name_id!(
     /// A route from a host name and path to a service.
     RouteId, "route");
 name_id!(
-    /// One send of a request by its caller, named by the caller.
+    /// One call, as named by its caller.
     CallId, "call id");
 name_id!(
-    /// A piece of evidence of crashed servers, named by the entry that tells it.
+    /// One piece of evidence of server crashes, as named by the entry that publishes it.
     EvidenceId, "evidence");
 name_id!(
-    /// One life of an entry, as other entries know it.
+    /// One incarnation of an entry, as published to other entries.
     InstanceId, "instance");
--- a/crates/core/src/id/number_id.rs
+++ b/crates/core/src/id/number_id.rs
@@ -1,4 +1,4 @@
-//! Identifiers written as numbers.
+//! Identifiers that are numbers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Serialize};
 
 quick_error! {
-    /// A text that is no number of the wanted kind.
+    /// Error for text that is not a number of the expected kind.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum InvalidNumber {
-        /// Not a whole number in range.
+        /// The text is not a whole number in range.
         NotANumber(kind: &'static str, text: String) {
             display("{kind} {text:?} is not a whole number in range")
         }
@@ -34,7 +34,7 @@
                 Self(number)
             }
 
-            /// The bare number.
+            /// The plain number.
             #[must_use]
             pub const fn get(self) -> $repr {
                 self.0
@@ -65,13 +65,13 @@
 }
 
 number_id!(
-    /// One life of a process: drawn at random when it starts.
+    /// One run of a process from start to end; a random number drawn at the start.
     Incarnation, u64, "incarnation");
 number_id!(
-    /// When a life of a backend server began, in milliseconds of Unix time by the server's clock.
+    /// Start time of a backend server, in milliseconds of Unix time by the server's clock.
     StartMs, u64, "start");
 number_id!(
-    /// Counts the attempts at one stage of one request, from 0.
+    /// Number of an attempt at one stage of one request, from 0.
     AttemptNumber, u32, "attempt number");
 number_id!(
     /// Position of a stage within its pipeline, from 0.
@@ -86,7 +86,7 @@
     /// Version of the wanted placement; 0 means none yet.
     PlacementVersion, u64, "placement version");
 number_id!(
-    /// Grows with each new holder of a lease.
+    /// Fencing number of a lease's holder; higher for each new holder.
     FencingNumber, u64, "fencing number");
 number_id!(
     /// Version of the routing in force; 0 means none yet.
--- a/crates/core/src/id/request_fingerprint.rs
+++ b/crates/core/src/id/request_fingerprint.rs
@@ -1,4 +1,4 @@
-//! What a request is by its content, whatever its caller names each send of it.
+//! Identification of requests by their content, independent of call ids.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,24 +11,24 @@
 
 /// Hexadecimal digits of a fingerprint.
 const DIGITS: usize = 32;
-/// Bytes of the hash that a fingerprint keeps.
+/// Bytes of the hash used in a fingerprint.
 const BYTES: usize = DIGITS / 2;
 
 quick_error! {
-    /// A text that is no fingerprint.
+    /// Error for text that is not a fingerprint.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum InvalidRequestFingerprint {
-        /// Not as many lowercase hexadecimal digits as a fingerprint has.
+        /// The text is not the right number of lowercase hexadecimal digits.
         Malformed(text: String) {
             display("request fingerprint {text:?} is not {DIGITS} lowercase hexadecimal digits")
         }
     }
 }
 
-/// Names requests of the same caller with the same path and body alike.
+/// Digest that is the same for requests of one organisation with the same host, path and body.
 ///
-/// A cryptographic hash with the organisation in it, so that no caller can have another one's request
-/// taken for its own.
+/// It is a cryptographic hash that includes the organisation, so that no caller can produce the
+/// fingerprint of another organisation's request.
 ///
 /// ```
 /// use amaranthscale_core::id::RequestFingerprint;
@@ -45,7 +45,7 @@
 pub struct RequestFingerprint(u128);
 
 impl RequestFingerprint {
-    /// Fingerprint of a request by its caller's organisation, its host and path, and its body.
+    /// Computes the fingerprint from the caller's organisation, the host, path and body.
     #[must_use]
     pub fn of(organisation: Option<&OrganisationId>, host: &str, path: &str, body: &[u8]) -> Self {
         let organisation = organisation.map_or("", OrganisationId::as_str);
@@ -56,13 +56,13 @@
             path.as_bytes(),
             body,
         ] {
-            // Lengths keep the parts apart.
+            // The length prefix delimits the parts.
             hash.update(part.len().to_le_bytes());
             hash.update(part);
         }
         let bytes = hash.finalize();
-        let kept = bytes.iter().take(BYTES);
-        Self(kept.fold(0, |kept, byte| kept << 8 | u128::from(*byte)))
+        let prefix = bytes.iter().take(BYTES);
+        Self(prefix.fold(0, |value, byte| value << 8 | u128::from(*byte)))
     }
 }
 
--- a/crates/core/src/id/request_id.rs
+++ b/crates/core/src/id/request_id.rs
@@ -8,17 +8,17 @@
 use uuid::Uuid;
 
 quick_error! {
-    /// A text that is no request id.
+    /// Error for text that is not a request id.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum InvalidRequestId {
-        /// Not a UUID.
+        /// The text is not a UUID.
         NotAUuid(text: String) {
             display("request id {text:?} is not a UUID")
         }
     }
 }
 
-/// One request of one caller, unique across entries.
+/// One request of a caller, unique across entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestId(Uuid);
--- a/crates/core/src/id/result_handle.rs
+++ b/crates/core/src/id/result_handle.rs
@@ -1,4 +1,4 @@
-//! The name of a result that a stage's server keeps.
+//! Handle of a result stored at a stage's server.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,21 +6,21 @@
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-/// Longest accepted handle: an address and a number fit several times.
+/// Longest accepted handle; several times the length of an address and a number.
 const MAX_HANDLE_BYTES: usize = 200;
 
 quick_error! {
-    /// A text that is no result handle.
+    /// Error for text that is not a result handle.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum InvalidResultHandle {
-        /// Empty, too long, or with a character that would split a list of handles.
+        /// The text is empty, too long, or contains a character that would break a list of handles.
         Malformed(text: String) {
             display("result handle {text:?} is not 1 to {MAX_HANDLE_BYTES} visible characters without a comma")
         }
     }
 }
 
-/// A result of a piece, as the server that keeps it names it.
+/// Handle of a piece's result, as named by the server that stores it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ResultHandle(String);
--- a/crates/core/src/id/server_incarnation.rs
+++ b/crates/core/src/id/server_incarnation.rs
@@ -1,9 +1,9 @@
-//! One life of a backend server.
+//! One run of a backend server from start to end.
 //!
-//! A server may start again under the id that it had. It then knows nothing of what it kept and
-//! nothing that was believed of it holds, so whatever is remembered of a server is remembered of a
-//! life: its id and the time at which that life began, where the platform tells it. Starts are only
-//! compared for being the same: the time of day may step back, so an older one may be the newer.
+//! A server may restart with the same id. It has then lost all stored results, and earlier
+//! observations no longer apply to it. So state about servers is keyed by incarnation: the id and
+//! the start time, where the platform reports one. Start times are only compared for equality:
+//! the server's clock may step back, so a later incarnation may have an earlier start time.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,11 +12,13 @@
 
 use super::{InvalidName, ServerId, StartMs};
 
-/// What stands between id and start in text; ids never hold it.
+/// Separates id and start time in text; ids never contain it.
 const SEPARATOR: char = '@';
 
 /// A backend server from one start to its end.
 ///
+/// # Examples
+///
 /// ```
 /// use amaranthscale_core::id::ServerIncarnation;
 ///
@@ -34,32 +36,32 @@
 }
 
 impl ServerIncarnation {
-    /// A life whose start the platform does not tell: its id alone names it.
+    /// Creates an incarnation without a start time, identified by its id alone.
     #[must_use]
     pub const fn new(id: ServerId) -> Self {
         Self { id, started: None }
     }
 
-    /// Says when it began.
+    /// Sets the start time.
     #[must_use]
     pub const fn started_at(mut self, started: StartMs) -> Self {
         self.started = Some(started);
         self
     }
 
-    /// The id that it shares with other lives of its server.
+    /// The server's id, the same for all of its incarnations.
     #[must_use]
     pub const fn id(&self) -> &ServerId {
         &self.id
     }
 
-    /// When it began, if the platform tells.
+    /// The start time, if the platform reports it.
     #[must_use]
     pub const fn started(&self) -> Option<StartMs> {
         self.started
     }
 
-    /// Whether it is another life of the same server.
+    /// Whether it is another incarnation of the same server.
     #[must_use]
     pub fn replaces(&self, other: &Self) -> bool {
         self.id == other.id && self.started != other.started
@@ -79,7 +81,7 @@
 impl FromStr for ServerIncarnation {
     type Err = InvalidName;
 
-    /// Reads `ID` or `ID@START`.
+    /// Parses `ID` or `ID@START`.
     fn from_str(text: &str) -> Result<Self, InvalidName> {
         let Some((id, started)) = text.split_once(SEPARATOR) else {
             return text.parse().map(Self::new);
--- a/crates/core/src/unit.rs
+++ b/crates/core/src/unit.rs
@@ -1,4 +1,4 @@
-//! Sizes, rates and points in time, each with its unit in its type.
+//! Types for sizes, rates and times that include the unit.
 
 mod class;
 mod sidecar_clock;
--- a/crates/core/src/unit/class.rs
+++ b/crates/core/src/unit/class.rs
@@ -1,4 +1,4 @@
-//! Whether an organisation pays.
+//! Class of an organisation: paid or trial.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,23 +7,23 @@
 use serde::{Deserialize, Serialize};
 
 quick_error! {
-    /// A text that names no class.
+    /// Error for text that is not a class.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum InvalidClass {
-        /// Neither of the two classes.
+        /// The text is neither of the two classes.
         Unknown(text: String) {
             display("class {text:?} is unknown: use paid or trial")
         }
     }
 }
 
-/// Class of an organisation; paid work goes before trial work.
+/// Class of an organisation; paid work has priority over trial work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// Pays for a promised attainment.
+    /// Pays for a guaranteed attainment.
     Paid,
-    /// Uses what paid work leaves idle.
+    /// Uses the capacity that paid work leaves idle.
     Trial,
 }
 
--- a/crates/core/src/unit/sidecar_clock.rs
+++ b/crates/core/src/unit/sidecar_clock.rs
@@ -1,13 +1,13 @@
-//! Time as one sidecar counts it.
+//! Readings of a sidecar's clock.
 
 use std::fmt;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds since one incarnation of a sidecar started.
+/// Reading of a sidecar's clock: milliseconds since its incarnation started.
 ///
-/// Readings of two incarnations cannot be compared.
+/// Readings of different incarnations cannot be compared.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -27,14 +27,14 @@
         self.0
     }
 
-    /// The reading some time later.
+    /// The reading after some time has passed.
     #[must_use]
     pub fn plus(self, passed: Duration) -> Self {
         let passed_ms = u64::try_from(passed.as_millis()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(passed_ms))
     }
 
-    /// Time from this reading until a later one; zero if that has passed.
+    /// Time from this reading until a later one; zero if that one is earlier.
     #[must_use]
     pub const fn until(self, later: Self) -> Duration {
         Duration::from_millis(later.0.saturating_sub(self.0))
--- a/crates/core/src/unit/size.rs
+++ b/crates/core/src/unit/size.rs
@@ -10,10 +10,10 @@
 const KIB: u64 = 1024;
 
 quick_error! {
-    /// A text that is no size or rate.
+    /// Error for text that is not a size, rate or weight.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum InvalidSize {
-        /// No number, or a unit that is not known.
+        /// The text has no valid number or an unknown unit.
         Malformed(kind: &'static str, text: String, accepted: &'static str) {
             display("{kind} {text:?} cannot be read: give {accepted}")
         }
@@ -80,13 +80,13 @@
 pub struct RatePerSecond(f64);
 
 impl RatePerSecond {
-    /// Wraps a rate; what is negative or no number counts as zero.
+    /// Wraps a rate; a negative rate or NaN becomes zero.
     #[must_use]
     pub const fn new(per_second: f64) -> Self {
         Self(if per_second > 0.0 { per_second } else { 0.0 })
     }
 
-    /// The bare rate.
+    /// The plain number of requests per second.
     #[must_use]
     pub const fn get(self) -> f64 {
         self.0
@@ -117,22 +117,22 @@
     }
 }
 
-/// Share of an organisation among its peers; at least 1.
+/// Relative share of an organisation among its peers; at least 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Weight(u32);
 
 impl Weight {
-    /// The share of an organisation for which nothing is set.
+    /// The default weight.
     pub const DEFAULT: Self = Self(1);
 
-    /// Wraps a weight; 0 counts as 1.
+    /// Wraps a weight; 0 becomes 1.
     #[must_use]
     pub const fn new(weight: u32) -> Self {
         Self(if weight == 0 { 1 } else { weight })
     }
 
-    /// The bare weight.
+    /// The plain number.
     #[must_use]
     pub const fn get(self) -> u32 {
         self.0
--- a/crates/core/src/unit/time_budget.rs
+++ b/crates/core/src/unit/time_budget.rs
@@ -1,4 +1,4 @@
-//! What is left of a request's deadline.
+//! Time left before a request's deadline.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,14 +8,14 @@
 
 /// Time left before a deadline.
 ///
-/// Budgets cross hosts in place of clock times, so that hosts need not agree on the time.
+/// Sent between hosts in place of a clock time, so that their clocks need not agree.
 #[serde_as]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TimeBudget(#[serde_as(as = "DurationMilliSeconds<u64>")] Duration);
 
 impl TimeBudget {
-    /// Nothing left.
+    /// No time left.
     pub const ZERO: Self = Self(Duration::ZERO);
 
     /// Wraps a duration.
@@ -36,7 +36,7 @@
         self.0
     }
 
-    /// What is left after some time has passed.
+    /// The time left after some time has passed.
     #[must_use]
     pub const fn after(self, passed: Duration) -> Self {
         Self(self.0.saturating_sub(passed))
--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -1,7 +1,8 @@
 //! Messages between processes, and between a process and the platform.
 //!
-//! Entry and sidecar talk over HTTP with bodies in `MessagePack`; the platform takes JSON. An attempt's
-//! answer is a run of length-delimited [`Frame`]s: numbered chunks, then exactly one end.
+//! Entry and sidecar communicate over HTTP with `MessagePack` bodies; the platform uses JSON. The
+//! answer to an attempt is a sequence of length-delimited [`Frame`]s: numbered chunks, then exactly
+//! one end.
 
 mod claim_ticket;
 mod codec;
--- a/crates/core/src/wire/claim_ticket.rs
+++ b/crates/core/src/wire/claim_ticket.rs
@@ -1,4 +1,4 @@
-//! What an attempt carries when its call may not be repeated.
+//! The claim data sent with an attempt at a non-repeatable call.
 
 use std::fmt;
 
@@ -8,14 +8,14 @@
 
 use crate::id::{IdempotencyKey, OrganisationId, RowVersion, StageIndex};
 
-/// Names the one claim row of a call that may not be repeated.
+/// Key of the claim row of a non-repeatable call.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimKey {
     /// Organisation that makes the call.
     pub organisation: OrganisationId,
-    /// Caller's own key.
+    /// The caller's idempotency key.
     pub key: IdempotencyKey,
-    /// Stage that may not be repeated.
+    /// The non-repeatable stage.
     pub stage: StageIndex,
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// SHA-256 of what a caller sent under a key.
+/// SHA-256 of the call that a caller made under a key.
 #[serde_as]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
@@ -39,20 +39,20 @@
     pub fn of(path: impl AsRef<str>, body: impl AsRef<[u8]>) -> Self {
         let mut hasher = Sha256::new();
         hasher.update(path.as_ref().as_bytes());
-        // A zero byte cannot stand in a path, so that path and body cannot run into each other.
+        // A path cannot contain a zero byte, so this separates path and body.
         hasher.update([0]);
         hasher.update(body.as_ref());
         Self(hasher.finalize().into())
     }
 }
 
-/// Lets a sidecar claim one version of a claim row just before the call.
+/// Allows a sidecar to claim one version of a claim row just before the call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimTicket {
-    /// Row to claim.
+    /// Key of the row to claim.
     pub key: ClaimKey,
-    /// Version that the entry read; the claim succeeds on no other.
+    /// Version that the entry read; the claim succeeds only over this version.
     pub version: RowVersion,
-    /// Digest of the call, kept in the row.
+    /// Digest of the call, stored in the row.
     pub fingerprint: CallFingerprint,
 }
--- a/crates/core/src/wire/codec.rs
+++ b/crates/core/src/wire/codec.rs
@@ -1,14 +1,14 @@
-//! Encoding of the messages between our processes.
+//! Encoding of the messages between entries and sidecars.
 
 use quick_error::quick_error;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
 quick_error! {
-    /// Bytes that hold no message of the wanted type.
+    /// Error for bytes that are not a message of the expected type.
     #[derive(Debug)]
     pub enum DecodeError {
-        /// The codec refused them.
+        /// The bytes cannot be decoded.
         Malformed(cause: rmp_serde::decode::Error) {
             display("the message cannot be read: {cause}")
             source(cause)
@@ -17,14 +17,14 @@
     }
 }
 
-/// Encodes a message; fields carry their names so that versions of the program can differ.
+/// Encodes a message with field names, so that processes of different versions can communicate.
 ///
 /// # Panics
 ///
-/// Only if a message type holds something that `MessagePack` cannot carry, which is a bug.
+/// If the type cannot be encoded as `MessagePack`, which is a bug.
 #[must_use]
 pub fn encode(message: &impl Serialize) -> Vec<u8> {
-    rmp_serde::to_vec_named(message).expect("message types hold only what the codec can carry")
+    rmp_serde::to_vec_named(message).expect("all message types can be encoded")
 }
 
 /// Decodes a message.
--- a/crates/core/src/wire/engine_report.rs
+++ b/crates/core/src/wire/engine_report.rs
@@ -1,15 +1,15 @@
-//! What a sidecar tells the planner of its engine.
+//! A sidecar's report on its engine to the planner.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::PlacementVersion;
 use crate::version::Assignment;
 
-/// What a sidecar tells the planner of its engine.
+/// A sidecar's report on its engine to the planner.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// Placement that the sidecar goes by; 0 while none was read.
+    /// Version of the placement that the sidecar uses; 0 before one was read.
     pub placement_version: PlacementVersion,
-    /// What the engine was last heard to run; none before it has answered.
+    /// What the engine last reported as running; `None` before its first report.
     pub running: Option<Assignment>,
 }
--- a/crates/core/src/wire/frame.rs
+++ b/crates/core/src/wire/frame.rs
@@ -1,4 +1,4 @@
-//! The answer to an attempt, as a run of frames.
+//! The answer to an attempt, as a sequence of frames.
 
 use serde::{Deserialize, Serialize};
 use serde_with::{Bytes, serde_as};
@@ -23,14 +23,14 @@
         Self(Sha256::digest(result.as_ref()).into())
     }
 
-    /// Wraps the bytes of a digest computed piece by piece.
+    /// Wraps the bytes of a digest that was computed incrementally.
     #[must_use]
     pub const fn from_bytes(bytes: [u8; 32]) -> Self {
         Self(bytes)
     }
 }
 
-/// What one attempt cost, for the books of its organisation.
+/// Cost of one attempt, accounted to its organisation.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StageCost {
     /// Time spent in the sidecar's queue.
@@ -44,22 +44,22 @@
 /// How an attempt ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// Numbered result.
+    /// Result code.
     pub code: ResultCode,
-    /// HTTP status of the backend server; 0 if it was not asked.
+    /// HTTP status of the backend server; 0 if it was not called.
     pub backend_status: u16,
     /// Length of the whole result.
     pub length_bytes: u64,
     /// Digest of the whole result.
     pub digest: ResultDigest,
-    /// When to come back, for a refusal.
+    /// Delay before a retry, for a refusal.
     pub retry_after_ms: Option<u64>,
-    /// What the attempt cost.
+    /// Cost of the attempt.
     pub cost: StageCost,
 }
 
 impl Outcome {
-    /// An outcome without a result.
+    /// Creates an outcome without a result.
     #[must_use]
     pub fn without_result(code: ResultCode) -> Self {
         Self {
@@ -79,15 +79,15 @@
     }
 }
 
-/// A numbered piece of a result.
+/// A numbered chunk of a result.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// Attempt that the piece belongs to.
+    /// Attempt that the chunk belongs to.
     pub attempt: AttemptId,
-    /// Position of the piece, from 0 without gaps.
+    /// Position of the chunk, consecutive from 0.
     pub sequence: u64,
-    /// Bytes of the piece.
+    /// Bytes of the chunk.
     #[serde_as(as = "Bytes")]
     pub data: Vec<u8>,
 }
@@ -97,19 +97,19 @@
 pub struct End {
     /// Attempt that has ended.
     pub attempt: AttemptId,
-    /// Number of chunks that went before.
+    /// Number of chunks in the answer.
     pub chunks: u64,
     /// How it ended.
     pub outcome: Outcome,
-    /// State of the sidecar.
+    /// Status of the sidecar.
     pub stamp: Stamp,
 }
 
 /// One frame of an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
-    /// A piece of the result.
+    /// A chunk of the result.
     Chunk(Chunk),
-    /// The end; nothing follows.
+    /// The last frame.
     End(End),
 }
--- a/crates/core/src/wire/hello.rs
+++ b/crates/core/src/wire/hello.rs
@@ -1,14 +1,14 @@
-//! First contact of an entry with a sidecar.
+//! Handshake of an entry with a sidecar.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::{HostId, TreeVersion};
 
-/// Asks a sidecar for its stamp.
+/// Requests a sidecar's status.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Host that asks.
+    /// Host that sends the request.
     pub from: HostId,
-    /// Version of the settings tree that it has.
+    /// Version of its settings tree.
     pub tree_version: TreeVersion,
 }
--- a/crates/core/src/wire/platform.rs
+++ b/crates/core/src/wire/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's table and host list, as its HTTP interface carries them.
+//! The platform's table and host list, as transferred by its HTTP interface.
 
 use std::net::SocketAddr;
 
@@ -11,18 +11,18 @@
 pub struct Row {
     /// Key of the row.
     pub key: String,
-    /// Version, which every write raises by one; 0 means absent.
+    /// Version, increased by one with every write; 0 means absent.
     pub version: RowVersion,
     /// Value; empty while absent.
     pub value: String,
 }
 
-/// A row that must be at a version for a transaction to commit.
+/// The version that a row must have for a transaction to commit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowCheck {
     /// Key of the row.
     pub key: String,
-    /// Version that it must have.
+    /// Required version.
     pub version: RowVersion,
 }
 
@@ -35,36 +35,36 @@
     pub value: String,
 }
 
-/// Writes rows together, if all checks hold.
+/// Writes rows atomically, if all checks hold.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Rows that must be at their versions.
+    /// Required versions of rows.
     pub checks: Vec<RowCheck>,
     /// Rows to write.
     pub writes: Vec<RowWrite>,
 }
 
-/// Answer to a transaction.
+/// Reply to a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TransactionReply {
-    /// All writes took effect; the rows as they now are.
+    /// All writes took effect; contains the rows as written.
     Committed(Vec<Row>),
-    /// No write took effect; the checked rows as they are.
+    /// No write took effect; contains the checked rows as they are.
     Conflict(Vec<Row>),
 }
 
-/// What the host list says of a host.
+/// State of a host in the host list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// Takes work.
+    /// Accepts work.
     Live,
-    /// Is about to go; takes no new work.
+    /// Is shutting down and accepts no new work.
     Leaving,
 }
 
-/// One process of the system as the host list knows it.
+/// One process of the system in the host list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostRecord {
     /// Host of the process.
@@ -75,17 +75,17 @@
     pub region: RegionId,
     /// Availability zone of the host.
     pub zone: ZoneId,
-    /// Service of the backend server beside it; none on an entry host.
+    /// Service of its backend server; `None` on an entry host.
     pub service: Option<ServiceId>,
-    /// Whether the host takes work.
+    /// Whether the host accepts work.
     pub state: HostState,
 }
 
-/// The host list, which lags.
+/// The host list, which may lag behind the platform.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
-    /// Grows with every change.
+    /// Increased with every change.
     pub version: u64,
-    /// Hosts in order of their names.
+    /// Hosts, ordered by name.
     pub hosts: Vec<HostRecord>,
 }
--- a/crates/core/src/wire/revoke.rs
+++ b/crates/core/src/wire/revoke.rs
@@ -1,4 +1,4 @@
-//! Questions about an attempt whose answer has not come.
+//! Messages about an attempt that has not been answered.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,52 +6,52 @@
 use crate::id::{AttemptId, Incarnation};
 use crate::unit::{SidecarClock, TimeBudget};
 
-/// Asks a sidecar to keep an attempt from starting.
+/// Requests a sidecar to prevent an attempt from starting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revoke {
     /// Attempt to revoke.
     pub attempt: AttemptId,
-    /// Life of the sidecar that the attempt was sent to.
+    /// Incarnation of the sidecar that the attempt was sent to.
     pub incarnation: Incarnation,
-    /// Expiry that the attempt carried.
+    /// Expiry of the attempt.
     pub expiry: SidecarClock,
-    /// Whether to cancel the attempt if it is running; only for work that may be repeated.
+    /// Whether to cancel the attempt if it is running; only for repeatable work.
     pub cancel_running: bool,
 }
 
-/// What became of an attempt.
+/// State of an attempt, as answered to a revocation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RevokeAnswer {
     /// It did not run and never will.
     Revoked,
-    /// It is at the backend server.
+    /// It is running at the backend server.
     Running,
     /// It has ended.
     Finished(Outcome),
-    /// Its expiry has passed and nothing is kept; whether it ran cannot be told.
+    /// It has expired and has no record; it may have run.
     Forgotten,
-    /// It was meant for another life of the sidecar; whether it ran cannot be told.
+    /// It was addressed to another incarnation of the sidecar; it may have run.
     OtherIncarnation,
 }
 
-/// Answer to a revocation.
+/// Reply to a revocation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevokeReply {
-    /// What became of the attempt.
+    /// State of the attempt.
     pub answer: RevokeAnswer,
-    /// State of the sidecar.
+    /// Status of the sidecar.
     pub stamp: Stamp,
 }
 
-/// Asks on a new connection for the frames of an attempt that was sent before.
+/// Requests the frames of an attempt that was sent earlier, on a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fetch {
-    /// Attempt whose answer is wanted.
+    /// Attempt whose answer is requested.
     pub attempt: AttemptId,
-    /// Life of the sidecar that the attempt was sent to.
+    /// Incarnation of the sidecar that the attempt was sent to.
     pub incarnation: Incarnation,
-    /// First chunk that is wanted.
+    /// First chunk to send.
     pub from_chunk: u64,
-    /// How long the answer may take.
+    /// Time left for the answer.
     pub budget: TimeBudget,
 }
--- a/crates/core/src/wire/stamp.rs
+++ b/crates/core/src/wire/stamp.rs
@@ -1,11 +1,11 @@
-//! What a sidecar tells about itself on every answer.
+//! Status of a sidecar, sent with every answer.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::{HostId, Incarnation, TreeVersion};
 use crate::unit::SidecarClock;
 
-/// Load of one backend server as its sidecar knows it.
+/// Load of one backend server, as measured by its sidecar.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Paid attempts in the sidecar's queue.
@@ -14,28 +14,28 @@
     pub queued_trial: u32,
     /// Attempts at the backend server.
     pub running: u32,
-    /// Attempts that the backend server takes at once.
+    /// Attempts that the backend server can run concurrently.
     pub slots: u32,
-    /// Smoothed time that one attempt spends at the backend server.
+    /// Smoothed time of an attempt at the backend server.
     pub service_ms: u32,
-    /// Smoothed time that a paid attempt spends in the queue.
+    /// Smoothed time of a paid attempt in the queue.
     pub queue_paid_ms: u32,
-    /// Smoothed time that a trial attempt spends in the queue.
+    /// Smoothed time of a trial attempt in the queue.
     pub queue_trial_ms: u32,
 }
 
-/// State of a sidecar, which rides on every answer.
+/// Status of a sidecar, sent with every answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
     /// Host of the sidecar.
     pub host: HostId,
-    /// Present life of the sidecar.
+    /// Current incarnation of the sidecar.
     pub incarnation: Incarnation,
-    /// Present reading of the sidecar's clock.
+    /// Current reading of the sidecar's clock.
     pub clock: SidecarClock,
-    /// Version of the settings tree that the sidecar has.
+    /// Version of the sidecar's settings tree.
     pub tree_version: TreeVersion,
-    /// Whether the backend server is leaving.
+    /// Whether the backend server is shutting down.
     pub is_leaving: bool,
     /// Load of the backend server.
     pub load: LoadReport,
--- a/crates/core/src/wire/tree_exchange.rs
+++ b/crates/core/src/wire/tree_exchange.rs
@@ -1,33 +1,33 @@
-//! How a process that is behind learns the settings tree from one that is ahead.
+//! Messages by which a process catches up with a newer settings tree.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::{HostId, TreeVersion};
 
-/// Asks for what came after a version.
+/// Requests the changes after a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TreeRequest {
-    /// Host that asks.
+    /// Host that sends the request.
     pub from: HostId,
-    /// Version that it has.
+    /// Its current version.
     pub version: TreeVersion,
 }
 
-/// What came after a version.
+/// The changes after a version.
 ///
-/// Edits and trees travel as JSON, the form in which the table keeps them.
+/// Edits and trees are sent as JSON, as they are stored in the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TreeReply {
-    /// The asker has the newest version that this process knows.
+    /// The requesting process has the newest version known here.
     UpToDate(TreeVersion),
-    /// Numbered edits without gaps, the first one following the asker's version.
+    /// Consecutive edits, the first of which follows the requester's version.
     Edits {
         /// Version before the first edit.
         after: TreeVersion,
-        /// One JSON text per edit.
+        /// The edits as JSON.
         edits: Vec<String>,
     },
-    /// A whole tree, for an asker too far behind.
+    /// The whole tree, for a requester too far behind.
     Whole {
         /// Version of the tree.
         version: TreeVersion,
