--- a/crates/core/examples/cold_load.rs
+++ b/crates/core/examples/cold_load.rs
@@ -1,9 +1,10 @@
-//! What ways of sharing a cold server's bound serve, and how near they come to it.
+//! Compares ways of sharing the rate limit of cold servers between entries.
 //!
-//! A whole service is cold. Requests come to entries at random, at the rate that all servers together
-//! may take; each entry sends a request to any server at which it has a share left, or refuses it.
-//! Shown for each way and number of entries: the part of the bound that is used, the most requests
-//! at one server in any second as a part of its bound, and entries that reach no server.
+//! All servers of a service are cold. Requests arrive at random entries, at the sum of the servers'
+//! limits; an entry sends each request to any server at which its share allows it, or refuses it.
+//! Printed for each way and number of entries: the used fraction of the limit, the maximum requests
+//! at one server in any second as a fraction of its limit, and the entries without a share at any
+//! server.
 //!
 //!     cargo run --release -p amaranthscale-core --example cold_load
 
@@ -17,36 +18,36 @@
 
 /// Servers of the service.
 const SERVERS: usize = 12;
-/// Requests a second that one cold server takes.
-const MOST_PER_S: f64 = 36.5;
+/// Rate limit of one cold server, in requests per second.
+const MAX_PER_S: f64 = 36.5;
 /// Simulated time, in steps of a millisecond.
 const STEPS: u64 = 20_000;
 const SECOND: Duration = Duration::from_secs(1);
-/// What the owner's share leaves unused, by which a share of any rate is made.
-const OWNER_PART: f64 = 0.5;
-/// Part of the bound that all entries use.
-const USED_PART: f64 = 0.6;
+/// Fraction of its rate that the share of an owner uses; used to create a share of any rate.
+const OWNER_FRACTION: f64 = 0.5;
+/// Fraction of the limit that all entries together use.
+const USED_FRACTION: f64 = 0.6;
 
-/// How entries share the bound.
+/// How entries share the limit.
 #[derive(Debug, Clone, Copy)]
-enum Way {
+enum Sharing {
     /// An equal share for each entry at each server.
     Each,
     /// Larger shares for few entries at each server, by rendezvous hash.
     Few,
 }
 
-struct Figures {
+struct Results {
     used: f64,
     most: f64,
     reaching_none: usize,
 }
 
-/// A small generator of numbers, the same in each run.
-struct Numbers(u64);
+/// A small random generator with a fixed sequence per seed.
+struct FixedRandom(u64);
 
-impl Numbers {
-    fn part(&mut self) -> f64 {
+impl FixedRandom {
+    fn fraction(&mut self) -> f64 {
         self.0 = self
             .0
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -60,7 +61,7 @@
         reason = "the product is below the bound"
     )]
     fn below(&mut self, bound: usize) -> usize {
-        ((self.part() * as_f64(bound)) as usize).min(bound - 1)
+        ((self.fraction() * as_f64(bound)) as usize).min(bound - 1)
     }
 }
 
@@ -71,52 +72,60 @@
 fn main() -> Result<(), Box<dyn Error>> {
     println!("entries  way   used of bound  most in a second  entries that reach none");
     for entries in [5, 26, 103, 380] {
-        for way in [Way::Each, Way::Few] {
-            let figures = run(way, entries)?;
-            let name = format!("{way:?}");
+        for sharing in [Sharing::Each, Sharing::Few] {
+            let results = run(sharing, entries)?;
+            let name = format!("{sharing:?}");
             println!(
                 "{entries:>7}  {name:<4}  {:>13.2}  {:>16.2}  {:>23}",
-                figures.used, figures.most, figures.reaching_none
+                results.used, results.most, results.reaching_none
             );
         }
     }
     Ok(())
 }
 
-fn run(way: Way, entries: usize) -> Result<Figures, Box<dyn Error>> {
+fn run(sharing: Sharing, entries: usize) -> Result<Results, Box<dyn Error>> {
     let addresses: Result<Vec<SocketAddr>, _> = (0..entries)
         .map(|index| format!("10.{}.{}.1:7740", index / 250, index % 250).parse())
         .collect();
     let addresses = addresses?;
-    let lives: Result<Vec<ServerIncarnation>, _> = (0..SERVERS)
+    let incarnations: Result<Vec<ServerIncarnation>, _> = (0..SERVERS)
         .map(|index| format!("server-{index}").parse())
         .collect();
-    let lives = lives?;
-    let share = |own: &SocketAddr, life: &ServerIncarnation| match way {
-        Way::Each => SendShare::of_owner(MOST_PER_S * USED_PART / as_f64(entries) / OWNER_PART),
-        Way::Few => SendShare::of_entry(life, MOST_PER_S, SERVERS, *own, &addresses),
+    let incarnations = incarnations?;
+    let share = |own: &SocketAddr, incarnation: &ServerIncarnation| match sharing {
+        Sharing::Each => {
+            SendShare::of_owner(MAX_PER_S * USED_FRACTION / as_f64(entries) / OWNER_FRACTION)
+        }
+        Sharing::Few => SendShare::of_entry(incarnation, MAX_PER_S, SERVERS, *own, &addresses),
     };
     let shares: Vec<Vec<SendShare>> = addresses
         .iter()
-        .map(|own| lives.iter().map(|life| share(own, life)).collect())
+        .map(|own| {
+            incarnations
+                .iter()
+                .map(|incarnation| share(own, incarnation))
+                .collect()
+        })
         .collect();
     let none = |shares: &&Vec<SendShare>| shares.iter().all(|share| share.sends() == 0);
     let mut sends = vec![RecentSends::default(); entries];
     let mut recent = vec![VecDeque::new(); SERVERS];
-    let mut numbers = Numbers(7);
+    let mut random = FixedRandom(7);
     let (mut served, mut most) = (0_u32, 0);
-    let rate_per_step = MOST_PER_S * as_f64(SERVERS) / 1_000.0;
+    let rate_per_step = MAX_PER_S * as_f64(SERVERS) / 1_000.0;
     for step in 0..STEPS {
         let now = SECOND + Duration::from_millis(step);
-        if numbers.part() > rate_per_step {
+        if random.fraction() > rate_per_step {
             continue;
         }
-        let entry = numbers.below(entries);
-        let first = numbers.below(SERVERS);
+        let entry = random.below(entries);
+        let first = random.below(SERVERS);
         let mut order = (0..SERVERS).map(|index| (first + index) % SERVERS);
-        let taken = order
-            .find(|server| sends[entry].try_send(&lives[*server], shares[entry][*server], now));
-        let Some(chosen) = taken else {
+        let allowed = order.find(|server| {
+            sends[entry].try_send(&incarnations[*server], shares[entry][*server], now)
+        });
+        let Some(chosen) = allowed else {
             continue;
         };
         served += 1;
@@ -131,9 +140,9 @@
         most = most.max(at_server.len());
     }
     let seconds = Duration::from_millis(STEPS).as_secs_f64();
-    Ok(Figures {
-        used: f64::from(served) / seconds / MOST_PER_S / as_f64(SERVERS),
-        most: as_f64(most) / MOST_PER_S,
+    Ok(Results {
+        used: f64::from(served) / seconds / MAX_PER_S / as_f64(SERVERS),
+        most: as_f64(most) / MAX_PER_S,
         reaching_none: shares.iter().filter(none).count(),
     })
 }
--- a/crates/core/examples/embed_queue.rs
+++ b/crates/core/examples/embed_queue.rs
@@ -1,7 +1,7 @@
-//! Embeds one part of the core, the fair queue, without any daemon.
+//! Uses one component of the core, the fair queue, without a daemon.
 //!
-//! A paid and a trial organisation send work to a server with two slots, one of them kept for paid
-//! work. The program prints the order in which the queue lets them start.
+//! A paid and a trial organisation send work to a server with two slots, one of them reserved for
+//! paid work. The program prints the order in which the queue starts the attempts.
 
 use std::error::Error;
 
--- a/crates/core/tests/policy_admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Scenarios of an entry's admission, limits and books.
+//! Admission, limits, retry budgets, hedging and accounting of an entry.
 
 #![expect(clippy::unwrap_used, reason = "fixtures of tests may panic")]
 
@@ -27,10 +27,10 @@
     book.rows().map(to_row).collect()
 }
 
-/// A burst fills the generation stage. What cannot be answered in time is refused at once and
-/// told to come back; as the wave goes on, callers are sent away for longer, and not in step.
+/// A burst fills the generation stage. Requests that cannot be answered in time are refused at
+/// once; as the burst continues, their retry delays grow and differ from each other.
 #[test]
-fn a_wave_is_refused_and_spread() {
+fn refusals_of_a_burst_get_growing_and_distinct_retry_delays() {
     let mut admission = Admission::new(3);
     let stages = [StageEstimate {
         queue_ms: 700,
@@ -38,7 +38,7 @@
     }];
     let budget = TimeBudget::from_millis(1_000);
 
-    let waits: Vec<u64> = (0..200)
+    let retry_delays: Vec<u64> = (0..200)
         .map(|_| {
             admission
                 .decide(budget, &stages, Class::Paid, Duration::ZERO)
@@ -47,16 +47,16 @@
         .map(|refusal| refusal.retry_after_ms)
         .collect();
 
-    let first: u64 = waits[..20].iter().sum();
-    let last: u64 = waits[180..].iter().sum();
+    let first: u64 = retry_delays[..20].iter().sum();
+    let last: u64 = retry_delays[180..].iter().sum();
     assert!(last > 2 * first, "{first} then {last}");
-    let distinct: BTreeSet<_> = waits.iter().collect();
+    let distinct: BTreeSet<_> = retry_delays.iter().collect();
     assert!(distinct.len() > 100, "{} distinct", distinct.len());
 }
 
-/// What can be answered in time is admitted, and trials need more room than paid work.
+/// Paid work that can be answered in time is admitted; trial work needs more time to spare.
 #[test]
-fn trials_need_more_room() {
+fn trial_work_needs_more_time_to_spare_than_paid_work() {
     let mut admission = Admission::new(3);
     let stages = [StageEstimate {
         queue_ms: 100,
@@ -71,7 +71,8 @@
     assert_eq!(trial.unwrap_err().code, ResultCode::DeadlineUnreachable);
 }
 
-/// After a refusal wave every caller retries at will. The budget passes one retry in ten.
+/// After many refusals every caller retries without limit. The budget admits one retry per ten
+/// requests.
 #[test]
 fn retries_stay_within_their_budget() {
     let mut budget = RetryBudget::new(10);
@@ -86,9 +87,9 @@
     assert!((100..=110).contains(&retries), "{retries}");
 }
 
-/// A hedge waits for the measured percentile of the last attempts, not of those long gone.
+/// The hedging delay is the percentile of the latest attempts, not of earlier ones.
 #[test]
-fn hedges_follow_the_latest_times() {
+fn hedging_delay_follows_the_latest_attempts() {
     let mut policy = HedgePolicy::new(90);
     for _ in 0..300 {
         policy.record(Duration::from_secs(9));
@@ -102,7 +103,7 @@
 
 /// Four entries share ten requests a second. Together they admit the limit and no more.
 #[test]
-fn entries_share_a_limit() {
+fn entries_together_admit_an_organisations_limit() {
     let name = organisation("delta-basin");
     let limit = Some(RatePerSecond::new(10.0));
     let mut entries: Vec<_> = (0..4).map(|_| OrganisationLimits::new()).collect();
@@ -120,34 +121,34 @@
     assert!((100..=110).contains(&admitted), "{admitted} in 10 s");
 }
 
-/// A wave of callers is above its organisation's limit. If all were told the time of the next
-/// token, they would come back together and be refused again; each is told its own.
+/// A burst of callers exceeds its organisation's limit. If all of them got the time of the next
+/// token, they would retry together and be refused again, so each gets its own retry time.
 #[test]
-fn refused_callers_come_back_one_by_one() {
+fn refused_callers_get_distinct_retry_times() {
     let name = organisation("delta-basin");
     let limit = Some(RatePerSecond::new(10.0));
     let mut limits = OrganisationLimits::new();
-    let mut waits: Vec<_> = (0..30)
+    let mut retry_delays: Vec<_> = (0..30)
         .filter_map(|_| limits.admit(&name, limit, None, 1, Duration::ZERO).err())
         .map(|refusal| Duration::from_millis(refusal.retry_after_ms))
         .collect();
-    waits.dedup();
+    retry_delays.dedup();
 
-    assert_eq!(waits.len(), 20);
-    for wait in waits {
-        let comes_back = wait + Duration::from_millis(1);
+    assert_eq!(retry_delays.len(), 20);
+    for retry_delay in retry_delays {
+        let retry_at = retry_delay + Duration::from_millis(1);
         assert_eq!(
-            limits.admit(&name, limit, None, 1, comes_back),
+            limits.admit(&name, limit, None, 1, retry_at),
             Ok(()),
-            "after {wait:?}"
+            "after {retry_delay:?}"
         );
     }
 }
 
-/// An organisation was idle for long, then all its callers come back after a failure. It may use
-/// five seconds of its share at once, and not all the time that it was idle.
+/// An organisation was idle for a long time, then all its callers return after a failure. It may
+/// use five seconds of its limit at once, not the whole idle time.
 #[test]
-fn idle_time_saves_five_seconds_of_a_limit() {
+fn idle_time_allows_a_burst_of_five_seconds_of_a_limit() {
     let name = organisation("delta-basin");
     let limit = Some(RatePerSecond::new(10.0));
     let mut limits = OrganisationLimits::new();
@@ -159,9 +160,9 @@
     assert_eq!(admitted.count(), 50);
 }
 
-/// Requests in flight count until they end.
+/// Requests count as in flight until they end.
 #[test]
-fn requests_in_flight_are_bounded() {
+fn requests_in_flight_are_limited() {
     let name = organisation("delta-basin");
     let mut limits = OrganisationLimits::new();
     assert!(
@@ -179,8 +180,8 @@
     assert!(after.is_ok());
 }
 
-/// A cost row's write seemed lost and was repeated, and a page of rows was read twice. The sum
-/// is the same; a restarted process adds to it under its own incarnation.
+/// The write of a cost row seemed lost and was repeated, and a page of rows was read twice. The sum
+/// does not change; a restarted process adds to it under its own incarnation.
 #[test]
 fn costs_written_twice_count_once() {
     let name = organisation("cedarline");
@@ -190,14 +191,14 @@
         server_ms: 40,
         tokens: 7,
     };
-    let mut former = CostTracker::new(host(), Incarnation::new(1));
-    former.record(&name, "rerank", &cost, true);
-    former.record(&name, "generate/large", &cost, false);
-    let mut present = CostTracker::new(host(), Incarnation::new(2));
-    present.record(&name, "rerank", &cost, true);
-    let mut read = rows(&former);
-    read.extend(rows(&former));
-    read.extend(rows(&present));
+    let mut earlier = CostTracker::new(host(), Incarnation::new(1));
+    earlier.record(&name, "rerank", &cost, true);
+    earlier.record(&name, "generate/large", &cost, false);
+    let mut current = CostTracker::new(host(), Incarnation::new(2));
+    current.record(&name, "rerank", &cost, true);
+    let mut read = rows(&earlier);
+    read.extend(rows(&earlier));
+    read.extend(rows(&current));
 
     let sums = sum_by_organisation(&read);
 
--- a/crates/core/tests/cell.rs
+++ b/crates/core/tests/cell.rs
@@ -1,4 +1,4 @@
-//! How stage servers and requests of a large deployment are dealt out to owners.
+//! Partitioning of the stage servers and requests of a large deployment into cells.
 
 #![expect(clippy::unwrap_used, reason = "fixtures of tests may panic")]
 
@@ -34,7 +34,7 @@
     format!("call-{number}").parse().unwrap()
 }
 
-/// All cells that some hundred calls are dealt to.
+/// All cells that a thousand calls are assigned to.
 fn cells(of: u32) -> BTreeSet<Cell> {
     (0..1_000)
         .map(|number| Cell::of_call(&call(number), of))
@@ -45,7 +45,7 @@
     format!("g{number}").parse().unwrap()
 }
 
-/// A view of as many equal entries, the first of them its own.
+/// A view of a number of equal entries, the first of which is its own.
 fn view(entries: usize) -> InstanceView {
     let announcement = |number: usize| Announcement {
         address: format!("10.0.{}.{}:7000", number / 250, number % 250)
@@ -63,31 +63,31 @@
 }
 
 #[test]
-fn a_deployment_of_some_hundred_servers_is_one_cell() {
+fn a_deployment_of_fifty_servers_is_one_cell() {
     assert_eq!(Cell::count([19, 15, 16]), 1);
     assert_eq!(Cell::count([]), 1);
     assert_eq!(cells(1), BTreeSet::from([Cell::SINGLE]));
 }
 
-/// A deployment grows to thousands of servers. One owner of all batches used up its processor, and
-/// a third of all requests went unserved; its work must be dealt out.
+/// A deployment grows to thousands of servers. A single owner of all batches used up its processor
+/// and a third of all requests was not served, so the work must be partitioned.
 #[test]
-fn a_deployment_of_thousands_is_dealt_out_to_a_power_of_two() {
+fn a_deployment_of_thousands_has_a_power_of_two_cells() {
     assert_eq!(Cell::count([540, 530, 530]), 8);
     assert_eq!(Cell::count([200, 200]), 2);
     assert_eq!(Cell::count([1_000_000, 1_000_000]), 64);
 }
 
-/// One stage has few servers. Dealt out as finely as the others, some cells would have none of them
-/// and refuse every request.
+/// One stage has few servers. With as many cells as the others allow, some cells would have none of
+/// them and refuse every request.
 #[test]
-fn a_stage_with_few_servers_is_not_dealt_out_too_finely() {
+fn a_stage_with_few_servers_limits_the_number_of_cells() {
     assert_eq!(Cell::count([1_000, 1_000, 9]), 2);
     assert_eq!(Cell::count([1_000, 1_000, 3]), 1);
 }
 
 #[test]
-fn each_server_is_in_one_cell_and_cells_are_of_one_size() {
+fn each_server_is_in_one_cell_and_cells_have_similar_sizes() {
     let servers = servers(100);
     let mut seen = BTreeSet::new();
 
@@ -108,10 +108,10 @@
     assert_eq!(seen.len(), servers.len());
 }
 
-/// Servers crash all the time. If each crash dealt everything anew, owners would meet at most of
-/// the servers, and what they know of turns and room would be worth nothing.
+/// Servers crash frequently. If each crash changed the whole partition, owners would share most of
+/// the servers, and their records of queues and storage would be useless.
 #[test]
-fn few_servers_move_when_one_ends() {
+fn few_servers_move_when_one_is_removed() {
     let before = servers(100);
     let after: Vec<_> = before.iter().skip(1).cloned().collect();
     let mut moved = 0;
@@ -141,10 +141,10 @@
     assert!(owners.len() >= 7, "{owners:?}");
 }
 
-/// One owner falls silent. Only its cell may move: with every cell that moves, what its owner had
-/// begun is lost.
+/// One owner becomes unresponsive. Only its cell may move: the work in progress of every cell that
+/// moves is lost.
 #[test]
-fn only_the_cells_of_a_silent_owner_move() {
+fn only_the_cells_of_an_unresponsive_owner_move() {
     let mut view = view(200);
     let cells = cells(8);
     let owner = |view: &InstanceView, cell: &Cell| view.owner(*cell, Duration::ZERO).0.clone();
@@ -158,9 +158,9 @@
     }
 }
 
-/// A peer of another version, or a stranger, names a cell that cannot be.
+/// A peer of another version, or an unknown program, sends an impossible cell.
 #[test]
-fn a_cell_that_cannot_be_is_told_from_others() {
+fn impossible_cells_are_detected() {
     let read = |text: &str| serde_json::from_str::<Cell>(text).unwrap();
 
     assert!(Cell::SINGLE.is_well_formed());
--- a/crates/core/tests/send_share.rs
+++ b/crates/core/tests/cold_send_share.rs
@@ -1,4 +1,4 @@
-//! What all entries together send to a cold server.
+//! Rate limits on what all entries together send to a cold server.
 
 #![expect(clippy::unwrap_used, reason = "fixtures of tests may panic")]
 
@@ -11,7 +11,7 @@
 
 use amaranthscale_core::id::ServerIncarnation;
 use amaranthscale_core::process::{ColdAllowance, ColdSpec, RecentSends, SendShare};
-use entries::{Numbers, address, addresses, life};
+use entries::{FixedRandom, address, addresses, server_incarnation};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -22,30 +22,36 @@
     own: usize,
     all: &[SocketAddr],
 ) -> SendShare {
-    SendShare::of_entry(&life(server), max_per_s, servers, all[own], all)
+    SendShare::of_entry(
+        &server_incarnation(server),
+        max_per_s,
+        servers,
+        all[own],
+        all,
+    )
 }
 
 #[test]
-fn the_bound_is_the_servers_rate_and_what_operators_add() {
+fn the_rate_limit_is_the_servers_rate_plus_the_operators_allowance() {
     let spec = ColdSpec {
         cold_duration: 3 * SECOND,
         requests_per_s: 21.0,
     };
 
-    let usual = spec.with_allowance(ColdAllowance::default());
-    let more = spec.with_allowance(ColdAllowance {
+    let default_limit = spec.with_allowance(ColdAllowance::default());
+    let raised_limit = spec.with_allowance(ColdAllowance {
         factor: 1.5,
         slack: 5.0,
     });
 
-    assert!((usual.max_per_s - 21.0).abs() < 1e-9);
-    assert!((more.max_per_s - 36.5).abs() < 1e-9);
+    assert!((default_limit.max_per_s - 21.0).abs() < 1e-9);
+    assert!((raised_limit.max_per_s - 36.5).abs() < 1e-9);
 }
 
-/// Deployments of every size share one bound: whatever the number of entries, the sum of what they
-/// may send stays below it, and some of it may always be sent.
+/// The limit holds for deployments of every size: whatever the number of entries, the sum of their
+/// shares stays within it and is never zero.
 #[test]
-fn the_shares_of_all_entries_keep_within_the_bound() {
+fn the_shares_of_all_entries_stay_within_the_rate_limit() {
     for entries in [1, 2, 3, 5, 26, 103, 380] {
         let all = addresses(entries);
         for max_per_s in [0.3, 1.0, 2.0, 7.5, 36.5, 400.0] {
@@ -56,12 +62,12 @@
 
                 let spans_s = shares.iter().map(|share| share.window().as_secs_f64());
                 assert!(most >= 1, "{entries} entries, {max_per_s} a second");
-                // A share of less than one a second is one in a longer span.
-                let longest_s = spans_s.fold(1.0, f64::max);
+                // A share of less than one a second is one send in a longer window.
+                let longest_window_s = spans_s.fold(1.0, f64::max);
                 let most = f64::from(u32::try_from(most).unwrap());
                 assert!(
-                    most <= (max_per_s * longest_s).max(1.0),
-                    "{entries} entries, {max_per_s} a second: {most} in {longest_s} s"
+                    most <= (max_per_s * longest_window_s).max(1.0),
+                    "{entries} entries, {max_per_s} a second: {most} in {longest_window_s} s"
                 );
             }
         }
@@ -69,12 +75,12 @@
 }
 
 #[test]
-fn a_rate_of_nothing_lets_nothing_through() {
+fn a_rate_of_zero_allows_no_sends() {
     assert_eq!(share(0, 0.0, 4, 0, &addresses(1)), SendShare::NONE);
 }
 
-/// A whole service comes back cold. Each entry should be able to reach one of its servers, or all
-/// of its callers would be refused while others are served.
+/// All servers of a service are cold. Each entry should have a share at one of them, as otherwise
+/// all of its callers would be refused while those of others are served.
 #[test]
 fn nearly_every_entry_reaches_some_cold_server() {
     for (entries, servers) in [(26, 4), (26, 47), (103, 12), (380, 660)] {
@@ -82,36 +88,36 @@
         let reaches = |own: &usize| {
             (0..servers).any(|server| share(server, 36.5, servers, *own, &all).sends() > 0)
         };
-        // A sample of hundreds says as much.
-        let asked = entries.min(40);
-        let reaching = (0..asked).filter(reaches).count();
+        // A sample of the entries is enough.
+        let sampled = entries.min(40);
+        let reaching = (0..sampled).filter(reaches).count();
 
         assert!(
-            reaching * 10 >= asked * 8,
-            "{reaching} of {asked} entries reach one of {servers} servers"
+            reaching * 10 >= sampled * 8,
+            "{reaching} of {sampled} entries reach one of {servers} servers"
         );
     }
 }
 
-/// Entries start again, as after a loss of power. The list names new lives at the same addresses, so
-/// nobody's share may change by it.
+/// Entries restart, as after a power failure. The list then has new incarnations at the same
+/// addresses, which must not change any share.
 #[test]
-fn a_share_hangs_on_addresses_alone() {
+fn a_share_depends_on_addresses_only() {
     let all = addresses(26);
-    let mut turned = all.clone();
-    turned.reverse();
+    let mut reversed = all.clone();
+    reversed.reverse();
 
     for own in &all {
-        let first = SendShare::of_entry(&life(1), 36.5, 47, *own, &all);
-        let second = SendShare::of_entry(&life(1), 36.5, 47, *own, &turned);
+        let first = SendShare::of_entry(&server_incarnation(1), 36.5, 47, *own, &all);
+        let second = SendShare::of_entry(&server_incarnation(1), 36.5, 47, *own, &reversed);
         assert_eq!(first, second);
     }
 }
 
-/// An entry with a queue for one cold server, which may stand still and wake up.
+/// An entry with a queue for one cold server, which may be frozen for a while.
 struct Entry {
     index: usize,
-    /// Entries that it has heard of.
+    /// Number of entries that it knows.
     known: usize,
     share: SendShare,
     sends: RecentSends,
@@ -133,8 +139,8 @@
         }
     }
 
-    /// Hears of so many entries.
-    fn hear(&mut self, server: &ServerIncarnation, max_per_s: f64, known: usize) {
+    /// Learns the number of entries.
+    fn set_known(&mut self, server: &ServerIncarnation, max_per_s: f64, known: usize) {
         if self.known != known {
             let own = address(self.index);
             let all = addresses(known);
@@ -143,8 +149,8 @@
         }
     }
 
-    /// Sends what it may of what waits; says how much.
-    fn turn(&mut self, server: &ServerIncarnation, now: Duration) -> usize {
+    /// Sends as many queued requests as its share allows; returns their number.
+    fn send_queued(&mut self, server: &ServerIncarnation, now: Duration) -> usize {
         self.queue.push_back(now);
         if self.frozen_until > now || now.saturating_sub(self.started) < SECOND {
             return 0;
@@ -158,40 +164,41 @@
     }
 }
 
-/// One run: entries come and hear of each other late, freeze with full queues and start again, all
-/// with more requests for one cold server than it takes. Gives the most sends in any second.
+/// Simulates entries that join and learn of each other late, freeze with full queues and restart,
+/// all with more requests for one cold server than its limit. Returns the maximum sends in a
+/// second.
 fn most_in_a_second(seed: u64, entries: usize, max_per_s: f64) -> usize {
-    let mut numbers = Numbers(seed);
-    let server = life(numbers.below(1_000));
+    let mut random = FixedRandom(seed);
+    let server = server_incarnation(random.below(1_000));
     let mut now = 10 * SECOND;
-    let begun = (0..entries).map(|index| Entry::new(index, now));
-    let mut all: Vec<_> = begun.collect();
+    let initial = (0..entries).map(|index| Entry::new(index, now));
+    let mut all: Vec<_> = initial.collect();
     for entry in &mut all {
-        entry.hear(&server, max_per_s, entries);
+        entry.set_known(&server, max_per_s, entries);
     }
     let mut sent_at: VecDeque<Duration> = VecDeque::new();
     let mut most = 0;
     for _ in 0..600 {
         now += Duration::from_millis(10);
-        if numbers.below(50) == 0 && all.len() < entries * 3 / 2 {
-            // It reads the list after its announcement; the others hear of it by and by.
+        if random.below(50) == 0 && all.len() < entries * 3 / 2 {
+            // It reads the list after its announcement; the others learn of it gradually.
             let index = all.len();
             all.push(Entry::new(index, now));
-            all[index].hear(&server, max_per_s, index + 1);
+            all[index].set_known(&server, max_per_s, index + 1);
         }
         let count = all.len();
-        let one = numbers.below(count);
-        match numbers.below(200) {
+        let one = random.below(count);
+        match random.below(200) {
             0..10 => all[one].frozen_until = now + Duration::from_millis(500),
             10 => {
                 all[one] = Entry::new(one, now);
-                all[one].hear(&server, max_per_s, count);
+                all[one].set_known(&server, max_per_s, count);
             }
-            11..60 => all[one].hear(&server, max_per_s, count),
+            11..60 => all[one].set_known(&server, max_per_s, count),
             _ => {}
         }
         for entry in &mut all {
-            for _ in 0..entry.turn(&server, now) {
+            for _ in 0..entry.send_queued(&server, now) {
                 sent_at.push_back(now);
             }
         }
@@ -207,7 +214,7 @@
 }
 
 #[test]
-fn random_runs_keep_the_bound_whatever_entries_know() {
+fn random_runs_stay_within_the_rate_limit() {
     for seed in 0..3 {
         for entries in [3, 26, 60] {
             for max_per_s in [5.0, 36.5] {
@@ -224,12 +231,12 @@
     }
 }
 
-/// Choices are made before pieces, sends after them: choices that leave together are held by the
-/// count of sends, and choices alone never fill it.
+/// A server is chosen before the pieces are computed, and the request is sent after them. Both are
+/// limited by the share, but choices alone do not use up the sends.
 #[test]
-fn choices_and_sends_are_counted_apart() {
+fn choices_and_sends_are_counted_separately() {
     let share = SendShare::of_owner(4.0);
-    let (server, now) = (life(0), 10 * SECOND);
+    let (server, now) = (server_incarnation(0), 10 * SECOND);
     let mut sends = RecentSends::default();
     sends.record_choice(&server, share, now);
     assert!(sends.can_choose(&server, share, now));
@@ -246,12 +253,12 @@
     assert!(sends.can_send(&server, share, now));
 }
 
-/// A server becomes cold without a start. What it was sent in the second before it said so counts: it
-/// must not get a whole share on top.
+/// A server becomes cold without a restart. Requests sent in the second before it reported that
+/// count: it must not get a whole share on top.
 #[test]
-fn what_was_sent_before_a_server_became_cold_counts() {
+fn requests_sent_before_a_server_became_cold_count() {
     let share = SendShare::of_owner(6.0);
-    let (server, now) = (life(0), 10 * SECOND);
+    let (server, now) = (server_incarnation(0), 10 * SECOND);
     let mut sends = RecentSends::default();
     for _ in 0..2 {
         sends.record_send(&server, now);
--- a/crates/core/tests/connection_share.rs
+++ b/crates/core/tests/connection_share.rs
@@ -1,4 +1,4 @@
-//! How entries share the connections that servers take.
+//! Entries share the connections that servers accept.
 
 #![expect(clippy::unwrap_used, reason = "fixtures of tests may panic")]
 
@@ -30,26 +30,26 @@
     (0..count).map(server).collect()
 }
 
-/// Servers that an entry sends to when it has so many requests at once.
-fn sent_to(entry: u32, at_once: usize, servers: &[ServerRecord]) -> Vec<String> {
+/// Servers that an entry sends a number of concurrent requests to.
+fn sent_to(entry: u32, concurrent: usize, servers: &[ServerRecord]) -> Vec<String> {
     let id = format!("entry-{entry}").parse().unwrap();
     let zone = zone(entry);
     let share = ConnectionShare::of(130, servers.len(), 100);
     let entry = SendingEntry::new(&id, &zone, share);
-    let mut choice = ServerSelector::default();
+    let mut selector = ServerSelector::default();
     let send = |_| {
-        let chosen = choice.select_plain(servers.iter().collect(), &BTreeSet::new(), entry, NOW);
-        let life = chosen.unwrap().incarnation.clone();
-        choice.record_send(&life);
-        life.to_string()
+        let chosen = selector.select_plain(servers.iter().collect(), &BTreeSet::new(), entry, NOW);
+        let incarnation = chosen.unwrap().incarnation.clone();
+        selector.record_send(&incarnation);
+        incarnation.to_string()
     };
-    (0..at_once).map(send).collect()
+    (0..concurrent).map(send).collect()
 }
 
-/// A hundred gateways each kept connections to all twelve servers, more than those take, and the
-/// servers reset what was too much with the requests in it.
+/// If a hundred gateways each kept connections to all twelve servers, these would exceed their
+/// limit and reset connections together with the requests on them.
 #[test]
-fn a_hundred_entries_keep_within_what_twelve_servers_take() {
+fn a_hundred_entries_stay_within_the_connection_limit_of_twelve_servers() {
     let servers = servers(12);
     let mut users: BTreeMap<String, usize> = BTreeMap::new();
     for entry in 0..100 {
@@ -64,8 +64,8 @@
     assert!(users.values().all(|users| users * each <= 130), "{users:?}");
 }
 
-/// All gateways start at once after a loss of power, and know nothing of the servers. They must not
-/// all send their first requests to the same one.
+/// All gateways start at once after a power failure, without any load information. They must not
+/// all send their first requests to the same server.
 #[test]
 fn entries_that_start_together_send_to_different_servers() {
     let servers = servers(12);
@@ -80,9 +80,9 @@
     assert!(first.values().all(|entries| *entries <= 25), "{first:?}");
 }
 
-/// An entry that has much more than its part of the requests is not held back by its share.
+/// An entry with far more requests than the others is not limited to its share.
 #[test]
-fn beyond_its_share_an_entry_goes_to_other_servers() {
+fn an_entry_beyond_its_share_uses_more_servers() {
     let servers = servers(12);
 
     let used: BTreeSet<_> = sent_to(1, 24, &servers).into_iter().collect();
@@ -90,32 +90,32 @@
     assert_eq!(used.len(), 12);
 }
 
-/// One server of those that an entry keeps to fails: it goes on with the others, and one that it
-/// did not use before takes the place.
+/// One of the servers that an entry uses fails. It continues with the others, and a server that it
+/// did not use before takes the place of the failed one.
 #[test]
-fn a_server_that_is_left_out_is_replaced() {
+fn an_ejected_server_is_replaced() {
     let servers = servers(12);
     let (id, zone) = ("entry-1".parse().unwrap(), zone(1));
     let entry = SendingEntry::new(&id, &zone, ConnectionShare::of(130, 12, 100));
-    let mut choice = ServerSelector::default();
+    let mut selector = ServerSelector::default();
     let none = BTreeSet::new();
-    let sick = choice
+    let failing = selector
         .select_plain(servers.iter().collect(), &none, entry, NOW)
         .unwrap();
     for _ in 0..2 {
-        choice.record_send(&sick.incarnation);
-        choice.record_end(&sick.incarnation, SendEnd::Failed, Duration::ZERO, NOW);
+        selector.record_send(&failing.incarnation);
+        selector.record_end(&failing.incarnation, SendEnd::Failed, Duration::ZERO, NOW);
     }
 
     let mut used = BTreeSet::new();
     for _ in 0..8 {
-        let chosen = choice
+        let chosen = selector
             .select_plain(servers.iter().collect(), &none, entry, NOW)
             .unwrap();
-        choice.record_send(&chosen.incarnation);
+        selector.record_send(&chosen.incarnation);
         used.insert(chosen.incarnation.clone());
     }
 
     assert_eq!(used.len(), 4);
-    assert!(!used.contains(&sick.incarnation));
+    assert!(!used.contains(&failing.incarnation));
 }
--- a/crates/core/tests/policy_queue.rs
+++ b/crates/core/tests/fair_queue.rs
@@ -1,4 +1,4 @@
-//! Scenarios of a sidecar's queue.
+//! A sidecar's fair queue and load meter.
 
 #![expect(clippy::unwrap_used, reason = "fixtures of tests may panic")]
 
@@ -45,17 +45,17 @@
     order
 }
 
-fn turns_of(organisation: &str, order: &[QueuedAttempt]) -> usize {
+fn starts_of(organisation: &str, order: &[QueuedAttempt]) -> usize {
     order
         .iter()
         .filter(|item| item.organisation.as_str() == organisation)
         .count()
 }
 
-/// A surge of trials has filled the queue and every slot that trials may take. A paid attempt
-/// arrives, takes the reserved slot, and a second one goes before all waiting trials.
+/// Trial attempts have filled the queue and all slots that they may use. A paid attempt gets the
+/// reserved slot, and a second one starts before all queued trial attempts.
 #[test]
-fn paid_goes_before_a_trial_surge() {
+fn paid_work_starts_before_queued_trial_work() {
     let mut queue = queue(3, 10, 1);
     for number in 0..8 {
         queue
@@ -67,7 +67,7 @@
     assert_eq!(
         queue.pop(START),
         None,
-        "the reserve is out of reach for trials"
+        "trial work cannot use the reserved slot"
     );
 
     queue
@@ -78,14 +78,14 @@
         .unwrap();
 
     assert_eq!(queue.pop(START).unwrap().attempt, attempt(100));
-    assert_eq!(queue.pop(START), None, "all slots are taken");
+    assert_eq!(queue.pop(START), None, "all slots are in use");
     queue.release(first.attempt);
     assert_eq!(queue.pop(START).unwrap().attempt, attempt(101));
     assert_eq!(queue.running(), 3);
 }
 
-/// A full queue of trials would refuse paid work although it goes first. The newest trial gives
-/// way and comes out as displaced; another trial is refused and did not run.
+/// A queue full of trial attempts would refuse paid work. Instead, the newest trial attempt is
+/// displaced; another trial attempt is refused.
 #[test]
 fn a_full_queue_displaces_trials_for_paid_work() {
     let mut queue = queue(0, 2, 0);
@@ -117,8 +117,8 @@
     assert_eq!(queue.len(Class::Trial), 0);
 }
 
-/// One paid organisation floods the queue before another sends a few. Both get half the turns,
-/// and weight 3 gets three turns of four.
+/// One paid organisation fills the queue before another sends a few attempts. Both get half the
+/// starts, and an organisation of weight 3 gets three of four.
 #[test]
 fn organisations_share_by_weight() {
     let mut even = queue(1, 100, 0);
@@ -144,15 +144,14 @@
             .unwrap();
     }
 
-    let even = turns_of("few", &drain(&mut even)[..20]);
-    let weighted = turns_of("few", &drain(&mut weighted)[..12]);
+    let even = starts_of("few", &drain(&mut even)[..20]);
+    let weighted = starts_of("few", &drain(&mut weighted)[..12]);
 
-    assert!((9..=10).contains(&even), "{even} of 20 turns");
-    assert!((8..=10).contains(&weighted), "{weighted} of 12 turns");
+    assert!((9..=10).contains(&even), "{even} of 20 starts");
+    assert!((8..=10).contains(&weighted), "{weighted} of 12 starts");
 }
 
-/// An organisation that was idle for long comes back. It gets its share from now on, not the
-/// share that it did not use.
+/// An organisation that was idle gets its share from now on, not the share that it did not use.
 #[test]
 fn idle_time_earns_no_credit() {
     let mut queue = queue(1, 100, 0);
@@ -171,14 +170,14 @@
             .unwrap();
     }
 
-    let back = turns_of("back", &drain(&mut queue)[..10]);
+    let back = starts_of("back", &drain(&mut queue)[..10]);
 
-    assert!((4..=6).contains(&back), "{back} of 10 turns");
+    assert!((4..=6).contains(&back), "{back} of 10 starts");
 }
 
-/// Work that can no longer end in time never takes a slot: it comes out as expired, once.
+/// An attempt that can no longer end in time never starts; it is returned as expired, once.
 #[test]
-fn late_work_is_set_aside() {
+fn work_that_cannot_end_in_time_expires_in_the_queue() {
     let mut queue = queue(1, 10, 0);
     let late = item(1, "delta-basin", Class::Paid);
     queue
@@ -202,7 +201,7 @@
     assert!(queue.expired(now).is_empty());
 }
 
-/// A revoked attempt is taken out for good, and one that is known cannot be queued twice.
+/// A revoked attempt leaves the queue, and an attempt cannot be queued twice.
 #[test]
 fn revoked_work_never_runs() {
     let mut queue = queue(1, 10, 0);
@@ -221,11 +220,11 @@
     assert_eq!(queue.pop(START), None);
 }
 
-/// A server was frozen for eight seconds, so its last samples are far above any deadline. Its
-/// queue would refuse all work, and without work there is no new sample. The expected time must
-/// fade, so that a server that is well again takes work again.
+/// A server was frozen for eight seconds, so its last samples are far above any deadline. Its queue
+/// would refuse all work, and without work there are no new samples. The expected time must decay,
+/// so that a recovered server accepts work again.
 #[test]
-fn an_old_measurement_does_not_shut_a_server() {
+fn an_old_measurement_does_not_block_a_recovered_server() {
     let mut meter = LoadMeter::default();
     for _ in 0..10 {
         meter.record_service(8_000, START);
@@ -238,10 +237,10 @@
     assert!(later <= 500, "{later} ms");
 }
 
-/// A server has become so slow that entries cancel nearly all it runs. Only the few quick ones
-/// end and are measured; the cancelled ones must count too, or the slowness stays unseen.
+/// A server has become so slow that entries cancel nearly all of its attempts. If only the few
+/// quick ones that end were measured, the slowness would not show, so cancelled ones count too.
 #[test]
-fn cancelled_work_shows_slowness() {
+fn cancelled_attempts_count_in_the_expected_time() {
     let mut meter = LoadMeter::default();
     meter.record_service(800, START);
 
@@ -257,21 +256,21 @@
     );
 }
 
-/// A server has thawed and is idle, but still believes that all work takes eight seconds. With a
-/// free slot it takes work all the same, and so finds out; what would have to wait is refused.
+/// A server was frozen and is idle again, but its expected time is still eight seconds. With a free
+/// slot it accepts work anyway, and so measures anew; work that would have to wait is refused.
 #[test]
-fn an_idle_server_does_not_refuse_on_a_belief() {
+fn an_idle_server_accepts_work_despite_a_long_expected_time() {
     let mut queue = queue(1, 10, 0);
-    let believed = |number| QueuedAttempt {
+    let slow_item = |number| QueuedAttempt {
         expected_ms: 8_000,
         expiry: SidecarClock::from_millis(4_000),
         ..item(number, "delta-basin", Class::Paid)
     };
 
-    let with_slot = queue.push(believed(1), START);
+    let with_slot = queue.push(slow_item(1), START);
     let started = queue.pop(START);
-    let without_slot = queue.push(believed(2), START);
-    let expired = queue.push(believed(3), SidecarClock::from_millis(4_000));
+    let without_slot = queue.push(slow_item(2), START);
+    let expired = queue.push(slow_item(3), SidecarClock::from_millis(4_000));
 
     assert_eq!(with_slot, Ok(()));
     assert!(started.is_some());
--- a/crates/core/tests/knowledge_age.rs
+++ b/crates/core/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! The age of what is known from the store.
+//! The age of data read from the store.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 }
 
 #[test]
-fn without_an_answer_nothing_is_known() {
+fn without_an_answer_there_is_no_age() {
     let freshness = Freshness::default();
 
     assert_eq!(freshness.age(ms(5_000)), None);
 }
 
-/// A store that is slow, or a connection that holds an answer up, delivers it seconds late. Dated
-/// by its arrival, a key that was revoked meanwhile would be believed for seconds too long.
+/// A slow store or connection delivers an answer seconds late. If its age counted from its arrival,
+/// a key that was revoked meanwhile would be accepted for seconds too long.
 #[test]
-fn an_answer_is_dated_by_when_it_was_given() {
+fn the_age_of_an_answer_counts_from_when_it_was_given() {
     let mut freshness = Freshness::default();
     freshness.record_answer(ms(1_000), ms(50_000));
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_older_answer_that_comes_later_makes_nothing_fresher() {
+fn an_older_answer_that_arrives_later_does_not_reduce_the_age() {
     let mut freshness = Freshness::default();
     freshness.record_answer(ms(5_000), ms(55_000));
 
@@ -38,9 +38,9 @@
     assert_eq!(freshness.age(ms(56_000)), Some(ms(1_000)));
 }
 
-/// A machine is suspended for a minute. The clock counts that time, so knowledge has aged by it.
+/// A host is suspended for a minute. The clock counts that time, so the data is older by it.
 #[test]
-fn knowledge_ages_while_the_machine_is_suspended() {
+fn data_ages_while_the_host_is_suspended() {
     let mut freshness = Freshness::default();
     freshness.record_answer(ms(1_000), ms(50_000));
 
@@ -50,7 +50,7 @@
 }
 
 quickcheck! {
-    fn an_age_is_never_below_the_true_one_by_more_than_the_shortest_way(
+    fn an_age_is_below_the_true_one_by_at_most_the_shortest_delay(
         delays_ms: Vec<u16>
     ) -> bool {
         let shortest_ms = u64::from(delays_ms.iter().copied().min().unwrap_or(0));
--- a/crates/core/tests/instance_random.rs
+++ b/crates/core/tests/instance_random.rs
@@ -1,8 +1,8 @@
-//! Random runs of gateways that agree on an owner through a store, with everything that can happen.
+//! Random runs of gateways that agree on an owner through a store, with faults.
 //!
-//! Gateways are killed, frozen, cut off from each other and from the store, in any order. What must
-//! hold in every run: once all is well again, all gateways name the same owner within seconds, it
-//! lives, and it names itself.
+//! Gateways are killed, frozen, and disconnected from each other and from the store, in any order.
+//! In every run, once the faults have ended, all gateways must select the same live owner within
+//! seconds, the owner itself included.
 
 #![expect(clippy::unwrap_used, reason = "fixtures of tests may panic")]
 
@@ -13,33 +13,35 @@
 use amaranthscale_core::process::{Announcement, Cell, InstanceView};
 use quickcheck::{Arbitrary, Gen};
 
-/// Runs in CI; `AMARANTH_RANDOM_SCHEDULES` asks for more.
-const USUAL_RUNS: u64 = 300;
-const MACHINES: usize = 4;
-/// Steps with troubles in one run.
+/// Number of runs in CI; `AMARANTH_RANDOM_SCHEDULES` sets another number.
+const DEFAULT_RUNS: u64 = 300;
+const HOSTS: usize = 4;
+/// Steps with faults in one run.
 const STEPS: usize = 120;
-/// Rounds of 300 ms after the last trouble: past the time after which the silent are forgotten.
-const CALM_ROUNDS: usize = 80;
+/// Rounds of 300 ms after the last fault: longer than the time after which unresponsive gateways
+/// expire.
+const ROUNDS_WITHOUT_FAULTS: usize = 80;
 
 fn pick(random: &mut Gen, choices: usize) -> usize {
     usize::arbitrary(random) % choices
 }
 
-/// One machine and the life of a gateway on it.
+/// One host and the current incarnation of its gateway.
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each trouble comes and goes by itself"
+    reason = "each fault starts and ends independently"
 )]
-struct Machine {
+struct Host {
     id: InstanceId,
     announcement: Announcement,
     view: InstanceView,
-    lives: usize,
-    /// Entries of the store's log that it has taken; none before the whole list is read.
+    incarnations: usize,
+    /// Number of changes of the store's log that it has read; `None` before it reads the whole
+    /// list.
     read: Option<usize>,
     is_announced: bool,
     is_frozen: bool,
-    is_cut_off: bool,
+    is_disconnected: bool,
     has_store: bool,
     removed: BTreeSet<InstanceId>,
 }
@@ -48,13 +50,13 @@
 
 struct World {
     now: Duration,
-    machines: Vec<Machine>,
+    hosts: Vec<Host>,
     rows: BTreeMap<InstanceId, (Announcement, RowVersion)>,
-    /// What changed, in order; none for an announcement that is gone.
+    /// Changes in order; `None` for a removed announcement.
     log: Vec<Change>,
 }
 
-impl Machine {
+impl Host {
     fn new(number: usize) -> Self {
         let address = format!("10.0.0.{}:7000", number + 1).parse().unwrap();
         let millicores = if number == 0 { 400 } else { 200 };
@@ -68,19 +70,19 @@
             view: InstanceView::new(id.clone(), announcement.clone()),
             id,
             announcement,
-            lives: 0,
+            incarnations: 0,
             read: None,
             is_announced: false,
             is_frozen: false,
-            is_cut_off: false,
+            is_disconnected: false,
             has_store: true,
             removed: BTreeSet::new(),
         }
     }
 
-    fn start_anew(&mut self, number: usize) {
-        self.lives += 1;
-        self.id = format!("m{number}-{}", self.lives).parse().unwrap();
+    fn restart(&mut self, number: usize) {
+        self.incarnations += 1;
+        self.id = format!("m{number}-{}", self.incarnations).parse().unwrap();
         self.view = InstanceView::new(self.id.clone(), self.announcement.clone());
         self.read = None;
         self.is_announced = false;
@@ -93,7 +95,7 @@
     fn new() -> Self {
         Self {
             now: Duration::from_secs(10),
-            machines: (0..MACHINES).map(Machine::new).collect(),
+            hosts: (0..HOSTS).map(Host::new).collect(),
             rows: BTreeMap::new(),
             log: Vec::new(),
         }
@@ -112,117 +114,117 @@
         }
     }
 
-    fn break_something(&mut self, random: &mut Gen) {
-        let number = pick(random, MACHINES);
-        let machine = &mut self.machines[number];
+    fn inject_fault(&mut self, random: &mut Gen) {
+        let number = pick(random, HOSTS);
+        let host = &mut self.hosts[number];
         match pick(random, 8) {
-            0 => machine.start_anew(number),
-            1 => machine.is_frozen = true,
-            2 => machine.is_frozen = false,
-            3 => machine.is_cut_off = true,
-            4 => machine.is_cut_off = false,
-            5 => machine.has_store = false,
-            // The store's history is gone, and the whole list is read again.
-            6 => machine.read = None,
-            _ => machine.has_store = true,
+            0 => host.restart(number),
+            1 => host.is_frozen = true,
+            2 => host.is_frozen = false,
+            3 => host.is_disconnected = true,
+            4 => host.is_disconnected = false,
+            5 => host.has_store = false,
+            // The store's history is lost, and the whole list is read again.
+            6 => host.read = None,
+            _ => host.has_store = true,
         }
     }
 
-    /// Announces a gateway and takes what the store tells.
-    fn follow(&mut self, number: usize) {
-        if !self.machines[number].has_store {
+    /// Announces a gateway and applies the store's changes.
+    fn sync_with_store(&mut self, number: usize) {
+        if !self.hosts[number].has_store {
             return;
         }
-        if !self.machines[number].is_announced {
-            self.machines[number].is_announced = true;
+        if !self.hosts[number].is_announced {
+            self.hosts[number].is_announced = true;
             let (id, announcement) = (
-                self.machines[number].id.clone(),
-                self.machines[number].announcement.clone(),
+                self.hosts[number].id.clone(),
+                self.hosts[number].announcement.clone(),
             );
             self.put(&id, announcement);
         }
-        if self.machines[number].read.is_none() {
+        if self.hosts[number].read.is_none() {
             self.read_all(number);
         }
-        while let Some((id, row)) = self.next_entry(number) {
-            let machine = &mut self.machines[number];
-            let own = machine.id.clone();
+        while let Some((id, row)) = self.next_change(number) {
+            let host = &mut self.hosts[number];
+            let own = host.id.clone();
             if let Some((announcement, since)) = row {
-                let is_same_address = announcement.address == machine.announcement.address;
-                machine.view.announced(id.clone(), announcement, since);
+                let is_same_address = announcement.address == host.announcement.address;
+                host.view.announced(id.clone(), announcement, since);
                 if is_same_address && id != own {
                     self.remove(&id);
                 }
             } else {
-                machine.view.withdrawn(&id);
+                host.view.withdrawn(&id);
                 if id == own && !self.rows.contains_key(&own) {
-                    let announcement = machine.announcement.clone();
+                    let announcement = host.announcement.clone();
                     self.put(&own, announcement);
                 }
             }
         }
     }
 
-    /// Reads the whole list, in the order of names.
+    /// Reads the whole list, ordered by name.
     fn read_all(&mut self, number: usize) {
-        let machine = &mut self.machines[number];
+        let host = &mut self.hosts[number];
         let ids: Vec<_> = self.rows.keys().cloned().collect();
-        machine.view.retain_listed(&ids);
-        let is_own_gone = !ids.contains(&machine.id);
-        let mut earlier_lives = Vec::new();
+        host.view.retain_listed(&ids);
+        let is_own_gone = !ids.contains(&host.id);
+        let mut earlier_incarnations = Vec::new();
         for (id, (announcement, since)) in &self.rows {
-            if announcement.address == machine.announcement.address && *id != machine.id {
-                earlier_lives.push(id.clone());
+            if announcement.address == host.announcement.address && *id != host.id {
+                earlier_incarnations.push(id.clone());
             }
-            machine
-                .view
+            host.view
                 .announced(id.clone(), announcement.clone(), *since);
         }
-        machine.read = Some(self.log.len());
-        for id in earlier_lives {
+        host.read = Some(self.log.len());
+        for id in earlier_incarnations {
             self.remove(&id);
         }
         if is_own_gone {
             let (id, announcement) = (
-                self.machines[number].id.clone(),
-                self.machines[number].announcement.clone(),
+                self.hosts[number].id.clone(),
+                self.hosts[number].announcement.clone(),
             );
             self.put(&id, announcement);
         }
     }
 
-    fn next_entry(&mut self, number: usize) -> Option<Change> {
-        let read = self.machines[number].read.as_mut()?;
+    fn next_change(&mut self, number: usize) -> Option<Change> {
+        let read = self.hosts[number].read.as_mut()?;
         let entry = self.log.get(*read).cloned()?;
         *read += 1;
         Some(entry)
     }
 
-    /// Whether a gateway gets an answer from a life at its address.
+    /// Whether a gateway gets an answer from a gateway's incarnation.
     fn reaches(&self, from: usize, id: &InstanceId) -> bool {
-        let to = self.machines.iter().position(|machine| machine.id == *id);
+        let to = self.hosts.iter().position(|host| host.id == *id);
         to.is_some_and(|to| {
-            let is_cut = self.machines[from].is_cut_off || self.machines[to].is_cut_off;
-            !is_cut && !self.machines[to].is_frozen
+            let is_disconnected =
+                self.hosts[from].is_disconnected || self.hosts[to].is_disconnected;
+            !is_disconnected && !self.hosts[to].is_frozen
         })
     }
 
-    /// Gives a job to the owner, and the next one as long as the owner is silent.
-    fn ask(&mut self, number: usize) {
-        for _ in 0..MACHINES {
-            let owner = self.machines[number].view.owner(Cell::SINGLE, self.now);
+    /// Sends a job to the owner, and to the next one as long as the owner is unresponsive.
+    fn send_job(&mut self, number: usize) {
+        for _ in 0..HOSTS {
+            let owner = self.hosts[number].view.owner(Cell::SINGLE, self.now);
             let owner = owner.0.clone();
-            if owner == self.machines[number].id {
+            if owner == self.hosts[number].id {
                 return;
             }
-            self.question(number, &owner);
+            self.probe(number, &owner);
         }
     }
 
-    fn question(&mut self, number: usize, id: &InstanceId) {
+    fn probe(&mut self, number: usize, id: &InstanceId) {
         let is_reached = self.reaches(number, id);
         let now = self.now;
-        let view = &mut self.machines[number].view;
+        let view = &mut self.hosts[number].view;
         if is_reached {
             view.mark_responsive(id);
         } else {
@@ -230,42 +232,42 @@
         }
     }
 
-    /// Has the silent ones before an owner removed, asks all silent ones, forgets the long silent.
-    fn tend(&mut self, number: usize) {
+    /// Removes the displaced and expired gateways, and probes all unresponsive ones.
+    fn remove_unresponsive(&mut self, number: usize) {
         let now = self.now;
-        let machine = &self.machines[number];
-        let others = machine.view.live_others(now);
+        let host = &self.hosts[number];
+        let others = host.view.live_others(now);
         let reaches_another =
             others.is_empty() || others.iter().any(|(id, _)| self.reaches(number, id));
-        let mut gone = machine.view.expired(now);
+        let mut removable = host.view.expired(now);
         if reaches_another {
-            let displaced = machine.view.displaced(now).into_iter();
-            gone.extend(displaced.filter(|id| !machine.removed.contains(id)));
+            let displaced = host.view.displaced(now).into_iter();
+            removable.extend(displaced.filter(|id| !host.removed.contains(id)));
         }
-        if machine.has_store {
-            for id in &gone {
+        if host.has_store {
+            for id in &removable {
                 self.remove(id);
             }
-            self.machines[number].removed.extend(gone);
+            self.hosts[number].removed.extend(removable);
         }
-        for (id, _) in self.machines[number].view.unresponsive(now) {
-            self.question(number, &id);
+        for (id, _) in self.hosts[number].view.unresponsive(now) {
+            self.probe(number, &id);
         }
     }
 
     fn round(&mut self) {
-        for number in 0..MACHINES {
-            if !self.machines[number].is_frozen {
-                self.follow(number);
-                self.ask(number);
-                self.tend(number);
+        for number in 0..HOSTS {
+            if !self.hosts[number].is_frozen {
+                self.sync_with_store(number);
+                self.send_job(number);
+                self.remove_unresponsive(number);
             }
         }
     }
 
     fn owners(&self) -> BTreeSet<InstanceId> {
-        let machines = self.machines.iter();
-        let owners = machines.map(|machine| machine.view.owner(Cell::SINGLE, self.now).0.clone());
+        let hosts = self.hosts.iter();
+        let owners = hosts.map(|host| host.view.owner(Cell::SINGLE, self.now).0.clone());
         owners.collect()
     }
 }
@@ -275,35 +277,38 @@
     let mut world = World::new();
     for _ in 0..STEPS {
         if pick(&mut random, 3) == 0 {
-            world.break_something(&mut random);
+            world.inject_fault(&mut random);
         }
         world.now += Duration::from_millis(u64::try_from(pick(&mut random, 900)).unwrap());
         world.round();
     }
 
-    for machine in &mut world.machines {
-        machine.is_frozen = false;
-        machine.is_cut_off = false;
-        machine.has_store = true;
+    for host in &mut world.hosts {
+        host.is_frozen = false;
+        host.is_disconnected = false;
+        host.has_store = true;
     }
-    for _ in 0..CALM_ROUNDS {
+    for _ in 0..ROUNDS_WITHOUT_FAULTS {
         world.now += Duration::from_millis(300);
         world.round();
     }
 
     let owners = world.owners();
     assert_eq!(owners.len(), 1, "seed {seed}: {owners:?}");
-    let lives: BTreeSet<_> = world.machines.iter().map(|one| one.id.clone()).collect();
-    assert!(owners.is_subset(&lives), "seed {seed}: {owners:?} is gone");
+    let incarnations: BTreeSet<_> = world.hosts.iter().map(|one| one.id.clone()).collect();
+    assert!(
+        owners.is_subset(&incarnations),
+        "seed {seed}: {owners:?} is not running"
+    );
 }
 
-/// Two gateways that own the batches for good would send calls that meet at the servers, and an
-/// owner that is gone would hold up every request.
+/// Two gateways that both own the batches would send conflicting calls to the servers, and an
+/// owner that no longer runs would delay every request.
 #[test]
-fn all_gateways_name_one_living_owner_once_all_is_well() {
-    let asked = std::env::var("AMARANTH_RANDOM_SCHEDULES").ok();
-    let runs = asked.and_then(|runs| runs.parse().ok());
-    for seed in 0..runs.unwrap_or(USUAL_RUNS) {
+fn all_gateways_agree_on_one_live_owner_after_faults() {
+    let configured = std::env::var("AMARANTH_RANDOM_SCHEDULES").ok();
+    let runs = configured.and_then(|runs| runs.parse().ok());
+    for seed in 0..runs.unwrap_or(DEFAULT_RUNS) {
         run(seed);
     }
 }
--- a/crates/core/tests/instance_view.rs
+++ b/crates/core/tests/instance_view.rs
@@ -1,4 +1,4 @@
-//! Which entry acts for all, as each of them sees it.
+//! Each entry's view of the others: owner of the batches and reader of the store.
 
 #![expect(clippy::unwrap_used, reason = "fixtures of tests may panic")]
 
@@ -35,14 +35,14 @@
 }
 
 #[test]
-fn alone_an_entry_acts_itself() {
+fn a_single_entry_is_the_owner() {
     let view = view("a", 1);
 
     assert_eq!(owner(&view, SECOND), "a");
 }
 
 #[test]
-fn all_entries_name_the_first_announced() {
+fn all_entries_select_the_first_announced_as_owner() {
     let mut views = [view("a", 1), view("b", 2), view("c", 3)];
     for view in &mut views {
         announce(view, "c", 3, 11);
@@ -55,10 +55,10 @@
     assert_eq!(owners, ["c", "c", "c"]);
 }
 
-/// Entries are restarted one after the other. If each one that joins took the batches over, two
-/// entries would make batches at once for seconds at every restart.
+/// Entries are restarted one after the other. If each joining entry took over the batches, two
+/// entries would send batches concurrently for seconds at every restart.
 #[test]
-fn one_that_joins_takes_nothing_over() {
+fn a_joining_entry_takes_nothing_over() {
     let mut view = view("a", 1);
     announce(&mut view, "a", 1, 10);
 
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_stronger_machine_goes_first() {
+fn an_entry_on_a_host_with_more_cpu_is_preferred() {
     let mut view = view("a", 1);
     announce(&mut view, "a", 1, 10);
     let strong = Announcement {
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_silent_entry_is_passed_over_and_tried_again_later() {
+fn an_unresponsive_entry_is_skipped_and_tried_again_later() {
     let mut view = view("b", 2);
     announce(&mut view, "a", 1, 10);
     announce(&mut view, "b", 2, 11);
@@ -95,32 +95,32 @@
     assert_eq!(owner(&view, 5 * SECOND), "a");
 }
 
-/// An owner stays frozen for longer than it is passed over. Tried again with requests, it would hold
-/// up all those of the moment: it is named until then, so that a question can be put to it first.
+/// An owner stays frozen for longer than it is skipped. Trying it again with requests would delay
+/// them, so it is listed as unresponsive until then and can be probed first.
 #[test]
-fn entries_that_are_passed_over_are_named_until_they_are_tried_again() {
+fn skipped_entries_are_listed_until_they_are_tried_again() {
     let mut view = view("b", 2);
     announce(&mut view, "a", 1, 10);
     assert!(view.unresponsive(SECOND).is_empty());
 
     view.mark_unresponsive(&id("a"), SECOND);
-    let named = view.unresponsive(2 * SECOND);
+    let listed = view.unresponsive(2 * SECOND);
     view.mark_unresponsive(&id("a"), 2 * SECOND);
 
-    assert_eq!(named, [(id("a"), announcement(1).address)]);
+    assert_eq!(listed, [(id("a"), announcement(1).address)]);
     assert_eq!(
         owner(&view, 4 * SECOND),
         "b",
-        "no answer puts it off further"
+        "a missing answer extends the time"
     );
     assert!(view.unresponsive(5 * SECOND).is_empty());
 }
 
-/// The owner freezes for some seconds, and the next one takes its place. When the old one came back
-/// it took the batches over again, and what was begun was lost a second time. The next one asks for
-/// the old one's announcement to be removed; announced anew, it is the youngest.
+/// The owner freezes for some seconds, and the next entry takes its place. If the old owner took
+/// the batches over again afterwards, the work in progress would be lost a second time. So the new
+/// owner has the old one's announcement removed; when announced again, it comes last.
 #[test]
-fn one_that_was_replaced_comes_back_as_the_youngest() {
+fn a_replaced_owner_comes_back_as_the_last() {
     let mut view = view("b", 2);
     announce(&mut view, "a", 1, 10);
     announce(&mut view, "b", 2, 11);
@@ -133,13 +133,13 @@
     view.withdrawn(&id("a"));
     announce(&mut view, "a", 1, 20);
 
-    assert_eq!(displaced, [id("a")], "one that comes later owns nothing");
+    assert_eq!(displaced, [id("a")], "a later entry owns nothing");
     assert_eq!(owner(&view, SECOND), "b");
 }
 
-/// Two gateways are after the silent owner. Only the next one may have it removed.
+/// Two gateways come after the unresponsive owner. Only the first of them may have it removed.
 #[test]
-fn one_that_does_not_act_displaces_nobody() {
+fn an_entry_that_is_not_the_owner_displaces_nobody() {
     let mut view = view("c", 3);
     announce(&mut view, "a", 1, 10);
     announce(&mut view, "b", 2, 11);
@@ -150,10 +150,10 @@
     assert!(view.displaced(SECOND).is_empty());
 }
 
-/// The own announcement was removed while no change could be told. Taken for there, the
-/// entry would go on to be the first for itself alone.
+/// An entry's own announcement was removed while changes were missed. If it still counted, the
+/// entry would consider itself the owner, unlike all others.
 #[test]
-fn a_whole_list_without_the_own_announcement_makes_it_the_last() {
+fn an_entry_missing_from_the_whole_list_counts_itself_as_last() {
     let mut view = view("a", 1);
     announce(&mut view, "a", 1, 10);
     announce(&mut view, "b", 2, 11);
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn one_that_answers_is_taken_back_at_once() {
+fn an_entry_that_answers_is_live_again_at_once() {
     let mut view = view("b", 2);
     announce(&mut view, "a", 1, 10);
     view.mark_unresponsive(&id("a"), SECOND);
@@ -174,24 +174,24 @@
     assert_eq!(owner(&view, SECOND), "a");
 }
 
-/// All machines lose power at once. The announcements of the dead lives stay in the store, and the
-/// rows come in the order of their names. The dead life of a machine must not hide the living one.
+/// All hosts lose power at once. The announcements of the earlier incarnations stay in the store,
+/// and rows are read in order of their names. An earlier incarnation must not hide the current one.
 #[test]
-fn a_newer_life_replaces_the_older_at_its_address_in_any_order() {
-    let mut older_first = view("x", 9);
-    announce(&mut older_first, "m-dead", 1, 10);
-    announce(&mut older_first, "m-living", 1, 30);
-    let mut newer_first = view("x", 9);
-    announce(&mut newer_first, "m-living", 1, 30);
-    announce(&mut newer_first, "m-dead", 1, 10);
+fn a_later_incarnation_replaces_the_earlier_one_at_its_address_in_any_order() {
+    let mut earlier_first = view("x", 9);
+    announce(&mut earlier_first, "m-dead", 1, 10);
+    announce(&mut earlier_first, "m-living", 1, 30);
+    let mut later_first = view("x", 9);
+    announce(&mut later_first, "m-living", 1, 30);
+    announce(&mut later_first, "m-dead", 1, 10);
 
-    let owners = [owner(&older_first, SECOND), owner(&newer_first, SECOND)];
+    let owners = [owner(&earlier_first, SECOND), owner(&later_first, SECOND)];
 
     assert_eq!(owners, ["m-living", "m-living"]);
 }
 
 #[test]
-fn one_that_nobody_reaches_for_long_is_forgotten() {
+fn an_entry_that_stays_unresponsive_expires() {
     let mut view = view("b", 2);
     announce(&mut view, "a", 1, 10);
     view.mark_unresponsive(&id("a"), SECOND);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn the_own_entry_is_never_given_up() {
+fn the_own_entry_never_expires() {
     let mut view = view("a", 1);
     announce(&mut view, "a", 1, 10);
 
@@ -213,7 +213,7 @@
     assert!(view.expired(60 * SECOND).is_empty());
 }
 
-/// Views of entries of one zone, and one of another, that all know of each other.
+/// Views of entries that all know each other; those named `far` are in another zone.
 fn zone_views(names: &[&str]) -> Vec<InstanceView> {
     let numbered = || (1_u16..).zip(names);
     let announced = |port: u16, name: &str| Announcement {
@@ -243,8 +243,8 @@
     numbered().map(view).collect()
 }
 
-fn reader(view: &InstanceView, left_out: &str) -> String {
-    match view.reader(SECOND, |id| id.as_str() == left_out) {
+fn reader(view: &InstanceView, excluded: &str) -> String {
+    match view.reader(SECOND, |id| id.as_str() == excluded) {
         StoreReader::Each => "each".to_owned(),
         StoreReader::This => view.own().to_string(),
         StoreReader::Other(id, _) => id.to_string(),
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn all_entries_of_a_zone_name_one_strong_reader() {
+fn all_entries_of_a_zone_select_one_strong_reader() {
     let views = zone_views(&["a-weak", "b", "c", "d-weak", "e-weak", "far-1", "far-2"]);
 
     let readers: Vec<_> = views.iter().map(|view| reader(view, "")).collect();
@@ -263,14 +263,14 @@
         readers[..5].iter().all(|reader| reader == first),
         "{readers:?}"
     );
-    // Two in the other zone: nothing is gained there.
+    // With two entries in the other zone, a common reader saves nothing.
     assert_eq!(readers[5..], ["each", "each"]);
 }
 
-/// The reader told nothing new, or fell silent. The next strong one takes its place, and a weak one
-/// only when no strong one is left.
+/// The reader delivered nothing new or became unresponsive. The next strong entry takes its place,
+/// and a weak one only when there is no strong one.
 #[test]
-fn a_reader_that_is_left_out_is_replaced_by_the_next_strong_one() {
+fn an_excluded_reader_is_replaced_by_the_next_strong_entry() {
     let mut views = zone_views(&["a-weak", "b", "c", "d-weak", "e-weak"]);
     let first = reader(&views[0], "");
     let second = reader(&views[0], &first);
@@ -282,9 +282,9 @@
     assert!(reader(&views[0], &first).ends_with("weak"));
 }
 
-/// An entry that is about to stop hands its part over while it still serves what it has.
+/// An entry that is about to stop gives up its role while it still serves its open requests.
 #[test]
-fn an_entry_that_leaves_reads_for_nobody() {
+fn a_leaving_entry_is_not_a_reader() {
     let mut views = zone_views(&["a", "b", "c", "d"]);
     let first = reader(&views[0], "");
     let own = views
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are held back because servers crash under them.
+//! Quarantine of requests that crash servers.
 
 #![expect(clippy::unwrap_used, reason = "fixtures of tests may panic")]
 
@@ -24,7 +24,7 @@
     format!("g1.{number}").parse().unwrap()
 }
 
-/// Crashes of servers by number, each with the requests that were lost with it.
+/// A quarantine with evidence of numbered servers' crashes, each with the requests lost with it.
 fn quarantine(crashes: &[&[&str]]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (number, lost) in crashes.iter().enumerate() {
@@ -41,7 +41,7 @@
     quarantine.add_evidence(id(number), evidence, NOW)
 }
 
-fn is_held(quarantine: &Quarantine, name: &str) -> bool {
+fn is_quarantined(quarantine: &Quarantine, name: &str) -> bool {
     matches!(
         quarantine.state(request(name), LATER),
         QuarantineState::Quarantined(_)
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_request_is_held_back_after_three_servers_crashed_under_it() {
+fn a_request_is_quarantined_after_three_servers_crashed_while_running_it() {
     let mut quarantine = quarantine(&[&["culprit"], &["culprit"]]);
     assert_eq!(
         quarantine.state(request("culprit"), LATER),
@@ -63,7 +63,7 @@
         changes,
         [QuarantineChange::Quarantined(request("culprit"), servers)]
     );
-    assert!(is_held(&quarantine, "culprit"));
+    assert!(is_quarantined(&quarantine, "culprit"));
     assert_eq!(
         quarantine.state(request("other"), LATER),
         QuarantineState::Clear
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn three_losses_at_one_life_of_a_server_are_one_crash() {
+fn three_losses_at_one_incarnation_of_a_server_are_one_crash() {
     let mut quarantine = Quarantine::default();
     for number in 0..3 {
         let mut evidence = CrashEvidence::default();
@@ -79,12 +79,12 @@
         quarantine.add_evidence(id(number), evidence, NOW);
     }
 
-    assert!(!is_held(&quarantine, "a"));
+    assert!(!is_quarantined(&quarantine, "a"));
 }
 
-/// Guards against requests that are blamed as they are lost beside the one to blame.
+/// Requests lost together with the one that crashes servers must not be quarantined.
 #[test]
-fn bystanders_of_a_culprit_are_not_held_back() {
+fn requests_lost_beside_a_culprit_are_not_quarantined() {
     let crashes: [&[&str]; 4] = [
         &["culprit", "a", "b"],
         &["culprit", "a"],
@@ -94,13 +94,13 @@
 
     let quarantine = quarantine(&crashes);
 
-    assert!(is_held(&quarantine, "culprit"));
-    assert!(!is_held(&quarantine, "a"));
-    assert!(!is_held(&quarantine, "b"));
+    assert!(is_quarantined(&quarantine, "culprit"));
+    assert!(!is_quarantined(&quarantine, "a"));
+    assert!(!is_quarantined(&quarantine, "b"));
 }
 
 #[test]
-fn two_culprits_at_servers_of_their_own_are_both_held_back() {
+fn two_culprits_at_different_servers_are_both_quarantined() {
     let crashes: [&[&str]; 7] = [
         &["first"],
         &["second", "a"],
@@ -113,31 +113,31 @@
 
     let quarantine = quarantine(&crashes);
 
-    assert!(is_held(&quarantine, "first"));
-    assert!(is_held(&quarantine, "second"));
-    assert!(!is_held(&quarantine, "a"));
+    assert!(is_quarantined(&quarantine, "first"));
+    assert!(is_quarantined(&quarantine, "second"));
+    assert!(!is_quarantined(&quarantine, "a"));
 }
 
-/// Guards against a culprit that stays hidden behind a more frequent one.
+/// A culprit must not stay undetected behind a more frequent one.
 #[test]
-fn a_culprit_hidden_behind_another_is_held_back_at_its_next_crash() {
+fn a_culprit_hidden_by_another_is_quarantined_at_its_next_crash() {
     let mut quarantine = quarantine(&[
         &["first", "second"],
         &["first", "second"],
         &["first", "second"],
         &["first"],
     ]);
-    assert!(!is_held(&quarantine, "second"));
+    assert!(!is_quarantined(&quarantine, "second"));
 
     crash(&mut quarantine, 4, &["second"]);
 
-    assert!(is_held(&quarantine, "first"));
-    assert!(is_held(&quarantine, "second"));
+    assert!(is_quarantined(&quarantine, "first"));
+    assert!(is_quarantined(&quarantine, "second"));
 }
 
-/// Guards against a popular request that is blamed as it is at every server that crashes.
+/// A popular request runs at every server that crashes and must not be blamed for that.
 #[test]
-fn a_request_that_also_runs_to_its_end_is_not_to_blame() {
+fn a_request_with_completed_runs_is_not_quarantined() {
     let mut quarantine = quarantine(&[&["popular"], &["popular"], &["popular"]]);
     assert!(quarantine.publishes_survival(request("popular")));
 
@@ -148,13 +148,13 @@
     let changes = quarantine.add_evidence(id(9), evidence, NOW);
 
     assert_eq!(changes, [QuarantineChange::Released(request("popular"))]);
-    assert!(!is_held(&quarantine, "popular"));
+    assert!(!is_quarantined(&quarantine, "popular"));
     assert!(!quarantine.publishes_survival(request("popular")));
 }
 
-/// Guards against one run that only looks complete.
+/// A single completed run may only look complete.
 #[test]
-fn a_request_that_ran_to_its_end_once_is_held_back_after_more_crashes() {
+fn a_request_with_one_completed_run_is_quarantined_after_more_crashes() {
     let mut quarantine = quarantine(&[&["a"], &["a"], &["a"]]);
     let evidence = CrashEvidence {
         crashes: Vec::new(),
@@ -163,12 +163,12 @@
 
     quarantine.add_evidence(id(9), evidence, NOW);
 
-    assert!(is_held(&quarantine, "a"));
+    assert!(is_quarantined(&quarantine, "a"));
 }
 
-/// Guards against a popular request that is refused before its other runs could end.
+/// A popular request must not be refused before its other runs could end.
 #[test]
-fn a_request_is_held_back_only_some_time_after_its_last_crash() {
+fn a_request_is_quarantined_only_some_time_after_its_last_crash() {
     let quarantine = quarantine(&[&["a"], &["a"], &["a"]]);
 
     let at_once = quarantine.state(request("a"), NOW);
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn evidence_counts_alike_in_any_order() {
+fn the_order_of_evidence_does_not_matter() {
     let mut pieces: Vec<CrashEvidence> = Vec::new();
     for (number, lost) in [["a", "b"], ["a", "b"], ["a", "c"], ["d", "b"]]
         .iter()
@@ -192,39 +192,42 @@
         pieces.push(evidence);
     }
     pieces[0].survivals.extend([request("b"); 2]);
-    let take = |order: &mut dyn Iterator<Item = usize>| {
+    let quarantined_after = |order: &mut dyn Iterator<Item = usize>| {
         let mut quarantine = Quarantine::default();
         for index in order {
             quarantine.add_evidence(id(index), pieces[index].clone(), NOW);
         }
-        let held: Vec<_> = quarantine
+        let quarantined: Vec<_> = quarantine
             .quarantined()
             .map(|(request, _)| request)
             .collect();
-        held
+        quarantined
     };
 
-    let forwards = take(&mut (0..4));
-    let backwards = take(&mut (0..4).rev());
+    let forwards = quarantined_after(&mut (0..4));
+    let backwards = quarantined_after(&mut (0..4).rev());
 
     assert_eq!(forwards, [request("a")]);
     assert_eq!(forwards, backwards);
 }
 
 #[test]
-fn evidence_is_forgotten_unless_it_is_told_again() {
+fn evidence_expires_unless_it_is_published_again() {
     let mut quarantine = quarantine(&[&["a"], &["a"], &["a"]]);
     assert_eq!(quarantine.renewal_of(request("a"), LATER), None);
     let half = NOW + Duration::from_mins(5);
     let renewal = quarantine.renewal_of(request("a"), half).unwrap();
     let last = NOW + Duration::from_secs(601);
 
-    let mut forgetful = quarantine.clone();
-    forgetful.add_evidence(id(8), CrashEvidence::default(), last);
+    let mut without_renewal = quarantine.clone();
+    without_renewal.add_evidence(id(8), CrashEvidence::default(), last);
     quarantine.add_evidence(id(7), renewal, half);
     quarantine.add_evidence(id(8), CrashEvidence::default(), last);
 
-    assert_eq!(forgetful.state(request("a"), last), QuarantineState::Clear);
+    assert_eq!(
+        without_renewal.state(request("a"), last),
+        QuarantineState::Clear
+    );
     assert_eq!(
         quarantine.state(request("a"), last),
         QuarantineState::Quarantined(3)
@@ -232,7 +235,7 @@
 }
 
 #[test]
-fn evidence_that_is_removed_releases_a_request() {
+fn removing_evidence_releases_a_request() {
     let mut quarantine = quarantine(&[&["a"], &["a"], &["a"]]);
 
     let changes = quarantine.remove_evidence(&id(1), NOW);
@@ -243,7 +246,7 @@
 }
 
 #[test]
-fn a_flood_of_evidence_is_bounded_and_the_oldest_goes_first() {
+fn excess_evidence_is_dropped_oldest_first() {
     let mut quarantine = Quarantine::default();
     for number in 0..30_000 {
         let mut evidence = CrashEvidence::default();
@@ -263,7 +266,7 @@
 }
 
 #[test]
-fn a_server_is_looked_at_once_for_all_runs_that_it_lost() {
+fn a_server_is_probed_once_for_all_runs_lost_at_it() {
     let mut lost = LostRuns::default();
 
     assert_eq!(
@@ -287,9 +290,9 @@
     );
 }
 
-/// Guards against a crash that nobody looks for, as the server had lost another run shortly before.
+/// Otherwise a crash would be missed because another run was lost at the server shortly before.
 #[test]
-fn a_server_that_was_found_listening_is_looked_at_again() {
+fn a_server_that_was_found_listening_is_probed_again() {
     let mut lost = LostRuns::default();
     lost.record_loss(&server(1), request("a"), NOW);
     lost.mark_not_crashed(&server(1));
@@ -300,12 +303,17 @@
     );
 
     let requests: Vec<_> = lost.mark_crashed(&server(1)).into_iter().collect();
-    assert_eq!(requests, [request("b")], "the first one outlived its run");
+    assert_eq!(
+        requests,
+        [request("b")],
+        "the first run was lost without a crash"
+    );
 }
 
-/// A server may be back before anybody looks: then only the list tells that another life listens.
+/// A server may restart before it is probed; then only the list shows that it is another
+/// incarnation.
 #[test]
-fn a_server_that_is_listed_no_more_is_to_blame_for_all_runs_that_it_lost() {
+fn a_server_that_is_no_longer_listed_counts_as_crashed_for_all_its_lost_runs() {
     let mut lost = LostRuns::default();
     lost.record_loss(&server(1), request("a"), NOW);
     lost.mark_not_crashed(&server(1));
@@ -318,9 +326,9 @@
     );
 }
 
-/// A broken connection to a server that lives on says nothing of its request.
+/// A broken connection to a server that keeps running is no evidence against its request.
 #[test]
-fn runs_lost_at_a_server_that_stays_are_forgotten() {
+fn runs_lost_at_a_server_that_keeps_running_expire() {
     let mut lost = LostRuns::default();
     lost.record_loss(&server(1), request("a"), NOW);
     assert!(lost.unlisted(|_| true).is_empty());
--- a/crates/core/tests/policy_router.rs
+++ b/crates/core/tests/router.rs
@@ -1,4 +1,4 @@
-//! Scenarios of an entry's router.
+//! Host selection by an entry's router.
 
 #![expect(clippy::unwrap_used, reason = "fixtures of tests may panic")]
 
@@ -89,10 +89,10 @@
     }
 }
 
-/// One server takes five times as long as the others. It is ejected, gets no work while it is
-/// out, and one request after that decides whether it comes back.
+/// One server takes five times as long as the others. It is ejected, gets no work for a while, and
+/// then one probe request decides whether it is readmitted.
 #[test]
-fn a_straggler_is_ejected_and_probed() {
+fn a_slow_server_is_ejected_and_probed() {
     let mut router = router(6);
     let slow = host(2);
     let now = serve(
@@ -118,12 +118,12 @@
     assert_eq!(router.ejected(&service()).count(), 0);
 }
 
-/// A ledger server fails, is ejected, and its time out has passed while it is still broken.
-/// A grower's settlement that served as its probe would be lost there, and the grower would hear
-/// "outcome unknown" with five healthy servers at hand. The settlement goes to one of these, and
-/// the next request that may be repeated is the probe.
+/// A ledger server fails and is ejected, and its ejection ends while it is still broken. A grower's
+/// settlement sent there as the probe would be lost and answered with "outcome unknown", although
+/// five servers are healthy. Settlements go to one of these; the next repeatable request is the
+/// probe.
 #[test]
-fn a_settlement_is_never_the_probe() {
+fn a_non_repeatable_request_is_never_the_probe() {
     let mut router = router(6);
     let broken = host(2);
     for _ in 0..3 {
@@ -144,8 +144,8 @@
     assert_eq!(repeatable, Ok(broken));
 }
 
-/// Every server of a service fails. No more than a third is left out, or the rest of the
-/// service would be overloaded as soon as it recovers.
+/// Every server of a service fails. At most a third is ejected, as otherwise the rest would be
+/// overloaded as soon as the service recovers.
 #[test]
 fn never_more_than_a_third_is_ejected() {
     for count in 1..10 {
@@ -162,9 +162,9 @@
     }
 }
 
-/// Hosts vanish from the list while others are ejected. What is left out shrinks with the list.
+/// Hosts are removed from the list while others are ejected. Fewer hosts may then be ejected.
 #[test]
-fn a_shrinking_list_readmits() {
+fn a_shrinking_host_list_readmits_ejected_hosts() {
     let mut router = router(9);
     fail(&mut router, 3, 20);
     assert_eq!(router.ejected(&service()).count(), 3);
@@ -174,8 +174,8 @@
     assert_eq!(router.ejected(&service()).count(), 1);
 }
 
-/// A sidecar says that its backend server is leaving before the host list does. It gets nothing
-/// more, whatever an older list or a late answer says.
+/// A sidecar reports that its backend server is leaving before the host list shows it. It gets no
+/// more work, whatever an older list or a late answer shows.
 #[test]
 fn a_leaving_host_gets_no_work() {
     let mut router = router(3);
@@ -201,10 +201,10 @@
     assert_eq!(refusal.code, ResultCode::NoBackendServer);
 }
 
-/// One server wrongly reports that it is idle while all others report a full queue. Requests
-/// must not herd to it: it gets no more than its chance of being one of two drawn.
+/// One server wrongly reports that it is idle while all others report a full queue. It must not
+/// attract all requests: it gets no more than its chance of being one of two drawn at random.
 #[test]
-fn a_wrong_report_does_not_herd() {
+fn a_wrong_load_report_does_not_attract_all_requests() {
     let mut router = router(10);
     let full = LoadReport {
         queued_paid: 60,
@@ -226,9 +226,10 @@
     assert!(misreporting < 250, "{misreporting} of 1000");
 }
 
-/// A new server comes into a busy service. It was not timed yet, and must not draw everyone.
+/// A new server joins a busy service. It has no measured times yet and must not attract all
+/// requests.
 #[test]
-fn a_new_server_does_not_draw_everyone() {
+fn a_new_server_does_not_attract_all_requests() {
     let mut router = router(6);
     let now = serve(&mut router, 200, |_| 100);
     router.set_hosts(&list(2, 7), now);
@@ -243,8 +244,8 @@
     assert!(new <= 20, "{new} of 70");
 }
 
-/// A server freezes with its connections open. Nothing says so, but answers stop; it gets no
-/// more work while others answer.
+/// A server freezes with its connections open. Its answers stop without an error; it gets no more
+/// work while others answer.
 #[test]
 fn a_frozen_server_is_avoided() {
     let mut router = router(4);
@@ -256,10 +257,10 @@
     }
 }
 
-/// An availability zone is gone, and with it more than a third of a service, so that not all of
-/// its hosts can be ejected. The lost ones still get no work but for a look now and then.
+/// An availability zone fails, and with it more than a third of a service, so that not all of its
+/// hosts can be ejected. The lost hosts still get no work except an occasional probe.
 #[test]
-fn lost_hosts_are_avoided_beyond_the_cap() {
+fn lost_hosts_are_avoided_beyond_the_ejection_limit() {
     let mut router = router(5);
     for number in 0..2 {
         router.started(&host(number), Duration::ZERO);
@@ -297,10 +298,10 @@
     assert!(later.len() <= 2, "{later:?}");
 }
 
-/// A server refuses everything at once, on a wrong belief about itself. It answers and looks
-/// idle, so requests herd to it and are refused; a refusing host must draw little.
+/// A server refuses everything at once because of a wrong estimate. It answers quickly and looks
+/// idle, so it would attract requests and refuse them; a refusing host must attract few.
 #[test]
-fn a_refusing_host_draws_little() {
+fn a_refusing_host_attracts_few_requests() {
     let mut router = router(6);
     let mut now = serve(&mut router, 200, |_| 100);
     let busy = LoadReport {
@@ -328,9 +329,9 @@
     assert!(refused <= 12, "{refused} of 100");
 }
 
-/// Work stays in the entry's own availability zone while it is not loaded, and spills after.
+/// Requests go to the entry's own availability zone until it is loaded, and then to others too.
 #[test]
-fn own_zone_goes_first_and_spills() {
+fn the_own_zone_is_preferred_until_it_is_loaded() {
     let settings = RouterSettings::new("hall-b".parse().unwrap());
     let mut router = Router::new(settings, 7);
     router.set_hosts(&list(1, 9), Duration::ZERO);
@@ -350,9 +351,9 @@
     assert!(zones[6..].iter().any(|zone| zone != "hall-b"), "{zones:?}");
 }
 
-/// Requests that share a prefix go to one host, until it is busier than the others.
+/// Requests with the same prefix go to one host until it is busier than the others.
 #[test]
-fn affinity_has_a_load_bound() {
+fn affinity_yields_to_load() {
     let mut router = router(6);
     let first = router
         .choose(&service(), &[], Some(42), Duration::ZERO)
@@ -371,7 +372,7 @@
     assert_ne!(spilled, first);
 }
 
-/// The subset of an entry barely changes when a host goes, and differs between entries.
+/// The subset of an entry barely changes when a host is removed, and differs between entries.
 #[test]
 fn subsets_are_stable() {
     let subset_of = |seed: u64, count: usize| {
@@ -389,9 +390,9 @@
     assert_ne!(before, other);
 }
 
-/// A full service reports queues by class: paid work waits for less.
+/// Queues are reported by class: paid work waits for less.
 #[test]
-fn estimates_tell_classes_apart() {
+fn estimates_differ_by_class() {
     let mut router = router(3);
     let surge = LoadReport {
         queued_trial: 40,
@@ -410,8 +411,8 @@
     assert!(trial.queue_ms >= 1_000, "{trial:?}");
 }
 
-/// Operators evacuate an availability zone. None of its hosts is chosen, as a probe neither, until the
-/// zone is taken back; without another zone the service refuses and says why.
+/// Operators evacuate an availability zone. None of its hosts is chosen, not even as a probe, until
+/// the zone is taken back; without another zone requests are refused with a code for it.
 #[test]
 fn an_evacuated_zone_is_not_chosen() {
     let mut router = router(6);
--- a/crates/core/tests/server_list.rs
+++ b/crates/core/tests/server_list.rs
@@ -1,4 +1,4 @@
-//! The list of backend servers through outages of the store.
+//! The list of backend servers: store outages, restarts, evacuated zones and cold servers.
 
 #![expect(clippy::unwrap_used, reason = "fixtures of tests may panic")]
 
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_leaving_server_takes_nothing_more() {
+fn a_leaving_server_is_not_usable() {
     let mut servers = list_of(&["a", "b"]);
     let leaving = ServerRecord {
         is_leaving: true,
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_entry_that_is_written_again_unchanged_changes_nothing() {
+fn rewriting_an_unchanged_entry_changes_nothing() {
     let mut servers = list_of(&["a"]);
 
     let is_changed = servers.apply_change(ServerChange::Listed(record("a")), SECOND);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_removed_server_is_gone_at_once_while_the_store_answers() {
+fn a_removed_server_is_dropped_at_once_while_the_store_answers() {
     let mut servers = list_of(&["a", "b"]);
 
     servers.apply_change(ServerChange::Removed("a".parse().unwrap()), SECOND);
@@ -72,11 +72,11 @@
     assert_eq!(usable(&servers), ["b"]);
 }
 
-/// The store is away for some seconds. The servers cannot write their entries and these lapse,
-/// though the servers serve all the while. When the store is back, the list is empty for a moment:
-/// a gateway that believed it would refuse every request.
+/// The store is unreachable for some seconds. The servers cannot renew their entries, which expire
+/// although the servers are running. When the store is back, the list is empty for a moment, and a
+/// gateway without a grace period would refuse every request.
 #[test]
-fn servers_whose_entries_lapsed_in_an_outage_stay_in_use_for_the_grace() {
+fn servers_whose_entries_expired_in_an_outage_stay_usable_for_the_grace_period() {
     let mut servers = list_of(&["a", "b"]);
     servers.store_lost();
     servers.store_answered(10 * SECOND);
@@ -91,10 +91,10 @@
     assert_eq!(usable(&servers), ["b"]);
 }
 
-/// A server leaves the list shortly after the store came back. If the grace began anew with each
-/// lapse, the server would be used for longer than a leaving one may be.
+/// A server is removed from the list shortly after the store came back. If the grace period started
+/// anew for each server, this one would be used for longer than a leaving server may be.
 #[test]
-fn the_grace_ends_with_the_stores_return_however_late_the_lapse() {
+fn the_grace_period_starts_when_the_store_is_back() {
     let mut servers = list_of(&["a"]);
     servers.store_lost();
     servers.store_answered(10 * SECOND);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn after_the_grace_missing_is_gone() {
+fn after_the_grace_period_a_removed_server_is_dropped_at_once() {
     let mut servers = list_of(&["a"]);
     servers.store_lost();
     servers.store_answered(10 * SECOND);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn nothing_is_dropped_while_the_store_is_away_again() {
+fn nothing_is_dropped_during_another_outage() {
     let mut servers = list_of(&["a"]);
     servers.store_lost();
     servers.store_answered(10 * SECOND);
@@ -132,10 +132,10 @@
     assert_eq!(usable(&servers), ["a"]);
 }
 
-/// A server crashes and starts again under its id between two polls. Taken for the same server, a
-/// request chosen for the earlier life would be sent on a connection, and with results, that are gone.
+/// A server crashes and restarts with the same id between two polls. If it counted as the same
+/// server, requests would use connections and stored results of the earlier incarnation.
 #[test]
-fn a_server_that_starts_again_is_another_life() {
+fn a_restarted_server_is_another_incarnation() {
     let mut servers = list_of(&["a@1000", "b@1000"]);
     let before = "a@1000".parse().unwrap();
 
@@ -146,10 +146,10 @@
     assert!(servers.is_usable(&"a@2000".parse().unwrap()));
 }
 
-/// The time of day of a host steps back, and its server starts again: the newer life has the older
-/// start. The order of the store's answers says which one is listed.
+/// The clock of a host steps back and its server restarts, so the later incarnation has the earlier
+/// start time. The order of the store's answers decides which one is listed.
 #[test]
-fn a_life_with_an_older_start_may_be_the_newer_one() {
+fn an_incarnation_with_an_earlier_start_time_may_be_the_later_one() {
     let mut servers = list_of(&["a@2000"]);
 
     servers.apply_change(ServerChange::Listed(record("a@1000")), SECOND);
@@ -157,10 +157,10 @@
     assert_eq!(usable(&servers), ["a@1000"]);
 }
 
-/// A life ends and the next one begins while the store is away. The entry lapsed, and what comes
-/// back under the id is not what lapsed.
+/// A server restarts while the store is unreachable. The entry expired, and the one written
+/// afterwards is of another incarnation.
 #[test]
-fn a_life_that_began_in_an_outage_replaces_the_lapsed_one() {
+fn an_incarnation_started_in_an_outage_replaces_the_expired_one() {
     let mut servers = list_of(&["a@1000"]);
     servers.store_lost();
     servers.store_answered(10 * SECOND);
@@ -173,10 +173,10 @@
     assert!(servers.drop_expired(20 * SECOND).is_empty());
 }
 
-/// Another program overwrites a server's entry with bytes of its own. Whatever stands there now, it
-/// names no server, also in an outage's grace: the store itself has told it.
+/// Another program overwrites a server's entry with other bytes. The server is dropped even in the
+/// grace period, since the store itself shows that its entry is gone.
 #[test]
-fn an_unreadable_entry_names_no_server_though_one_stood_there() {
+fn a_server_is_dropped_when_its_entry_becomes_unreadable() {
     let mut servers = list_of(&["a", "b"]);
     servers.store_lost();
     servers.store_answered(10 * SECOND);
@@ -188,9 +188,9 @@
     assert_eq!(usable(&servers), ["b"]);
 }
 
-/// The whole list is read again, and one entry has become unreadable meanwhile: the others hold.
+/// The whole list is read again, and one entry has become unreadable: the others stay valid.
 #[test]
-fn an_unreadable_entry_in_the_whole_list_costs_only_itself() {
+fn an_unreadable_entry_does_not_affect_others() {
     let mut servers = list_of(&["a", "b"]);
     let entries = vec![
         ServerChange::Unreadable("a".parse().unwrap()),
@@ -203,16 +203,17 @@
     assert_eq!(usable(&servers), ["b", "c"]);
 }
 
-/// Another program writes an entry that has all but the start. A request sent there would wait for
-/// a server that is not; yet one such writer must not cost a platform whose servers tell no start.
+/// Another program writes an entry that lacks only the start time. Requests sent there would wait
+/// for a server that does not exist, so such an entry is ignored. But on a platform whose servers
+/// report no start times, entries without one are valid.
 #[test]
-fn an_entry_without_a_start_counts_only_where_most_have_none() {
-    let told = list_of(&["a@1000", "b@1000", "c"]);
-    let untold = list_of(&["a", "b", "c@1000"]);
+fn an_entry_without_a_start_time_counts_only_if_most_have_none() {
+    let reported = list_of(&["a@1000", "b@1000", "c"]);
+    let unreported = list_of(&["a", "b", "c@1000"]);
 
-    assert_eq!(usable(&told), ["a@1000", "b@1000"]);
-    assert!(!told.is_usable(&"c".parse().unwrap()));
-    assert_eq!(usable(&untold), ["a", "b", "c@1000"]);
+    assert_eq!(usable(&reported), ["a@1000", "b@1000"]);
+    assert!(!reported.is_usable(&"c".parse().unwrap()));
+    assert_eq!(usable(&unreported), ["a", "b", "c@1000"]);
 }
 
 const TERMS: ColdLimits = ColdLimits {
@@ -238,7 +239,7 @@
     }
 }
 
-fn use_of(servers: &ServerList, id: &str, now: Duration) -> ServerAvailability {
+fn availability(servers: &ServerList, id: &str, now: Duration) -> ServerAvailability {
     servers.availability(&id.parse().unwrap(), Some(TERMS), now)
 }
 
@@ -249,10 +250,10 @@
     }
 }
 
-/// Operators evacuate a zone. All of its servers get nothing from that moment on, one that comes
-/// meanwhile neither; when the zone is taken back they may have become cold unseen.
+/// Operators evacuate a zone. None of its servers is usable from then on, not even one listed
+/// later. When the zone is taken back, its servers may have become cold unnoticed.
 #[test]
-fn an_evacuated_zone_is_out_of_use_and_comes_back_cold() {
+fn an_evacuated_zone_is_not_usable_and_is_cold_when_taken_back() {
     let mut servers = list_of(&["a"]);
 
     let changed = servers.apply_zones(vec![evacuated("north", 7)], false, SECOND);
@@ -261,27 +262,36 @@
     let state = ZoneState::Evacuated(RowVersion::new(7));
     assert_eq!(changed, [(zone("north"), state)]);
     assert!(usable(&servers).is_empty());
-    assert_eq!(use_of(&servers, "a", SECOND), ServerAvailability::Evacuated);
-    assert_eq!(use_of(&servers, "b", SECOND), ServerAvailability::Evacuated);
+    assert_eq!(
+        availability(&servers, "a", SECOND),
+        ServerAvailability::Evacuated
+    );
+    assert_eq!(
+        availability(&servers, "b", SECOND),
+        ServerAvailability::Evacuated
+    );
     let service: ServiceId = "scale".parse().unwrap();
     assert_eq!(servers.not_leaving(&service).count(), 2);
 
     servers.apply_zones(vec![taken_back("north")], false, 5 * SECOND);
 
-    assert_eq!(use_of(&servers, "a", 5 * SECOND), cold(8 * SECOND));
-    assert_eq!(use_of(&servers, "a", 8 * SECOND), ServerAvailability::Free);
-    // A service whose servers are never cold is used at once.
-    let life = "a".parse().unwrap();
+    assert_eq!(availability(&servers, "a", 5 * SECOND), cold(8 * SECOND));
+    assert_eq!(
+        availability(&servers, "a", 8 * SECOND),
+        ServerAvailability::Free
+    );
+    // The servers of a service without cold servers are usable at once.
+    let incarnation = "a".parse().unwrap();
     assert_eq!(
-        servers.availability(&life, None, 5 * SECOND),
+        servers.availability(&incarnation, None, 5 * SECOND),
         ServerAvailability::Free
     );
 }
 
-/// An evacuation is written, removed and written again while the store's history is forgotten: what
-/// a whole table does not name is taken back, what it names is not.
+/// An evacuation is written, removed and written again while the store loses its history. A zone
+/// that is missing from the whole table is taken back; one that it contains stays evacuated.
 #[test]
-fn a_whole_table_says_which_zones_are_evacuated() {
+fn a_whole_table_replaces_the_evacuated_zones() {
     let mut servers = list_of(&["a"]);
     servers.apply_zones(
         vec![evacuated("north", 7), evacuated("south", 8)],
@@ -298,15 +308,15 @@
     assert_eq!(servers.evacuated_zones().count(), 0);
     servers.apply_zones(vec![evacuated("north", 12)], false, 4 * SECOND);
     assert_eq!(
-        use_of(&servers, "a", 4 * SECOND),
+        availability(&servers, "a", 4 * SECOND),
         ServerAvailability::Evacuated
     );
 }
 
-/// Something else is written where the evacuation of a zone stood. Nobody said that the zone was
-/// taken back, so it stays out of use; a zone that was in use stays in use.
+/// The row of an evacuation is overwritten with something else. That does not take the zone back,
+/// so it stays evacuated; a zone in use stays in use.
 #[test]
-fn unreadable_words_leave_a_zone_as_it_is() {
+fn an_unreadable_row_leaves_a_zone_as_it_is() {
     let unreadable = |name| ZoneChange {
         zone: zone(name),
         state: Err("no object".to_owned()),
@@ -315,16 +325,22 @@
 
     let changed = servers.apply_zones(vec![unreadable("north")], false, SECOND);
     assert!(changed.is_empty());
-    assert_eq!(use_of(&servers, "a", SECOND), ServerAvailability::Free);
+    assert_eq!(
+        availability(&servers, "a", SECOND),
+        ServerAvailability::Free
+    );
 
     servers.apply_zones(vec![evacuated("north", 7)], false, SECOND);
     servers.apply_zones(vec![unreadable("north")], true, SECOND);
 
-    assert_eq!(use_of(&servers, "a", SECOND), ServerAvailability::Evacuated);
+    assert_eq!(
+        availability(&servers, "a", SECOND),
+        ServerAvailability::Evacuated
+    );
 }
 
 #[test]
-fn a_zone_that_is_evacuated_again_at_once_is_out_of_use() {
+fn a_zone_that_is_evacuated_again_at_once_is_not_usable() {
     let mut servers = list_of(&["a"]);
     servers.apply_zones(vec![evacuated("north", 7)], false, SECOND);
     servers.apply_zones(vec![taken_back("north")], false, 2 * SECOND);
@@ -332,15 +348,15 @@
     servers.apply_zones(vec![evacuated("north", 9)], false, 2 * SECOND);
 
     assert_eq!(
-        use_of(&servers, "a", 2 * SECOND),
+        availability(&servers, "a", 2 * SECOND),
         ServerAvailability::Evacuated
     );
 }
 
-/// A server has just started and says for how long it is cold; its next entry says how much is left.
+/// A server has just started and reports for how long it is cold; its next entry has the time left.
 #[test]
-fn a_server_is_cold_by_its_own_word() {
-    let told = |left_ms| {
+fn a_server_is_cold_for_as_long_as_it_reports() {
+    let reported = |left_ms| {
         ServerChange::Listed(ServerRecord {
             cold_left: Some(Duration::from_millis(left_ms)),
             ..record("a")
@@ -348,37 +364,47 @@
     };
     let mut servers = ServerList::default();
 
-    servers.apply_change(told(3_000), SECOND);
-    assert_eq!(use_of(&servers, "a", SECOND), cold(4 * SECOND));
-    servers.apply_change(told(500), 2 * SECOND);
+    servers.apply_change(reported(3_000), SECOND);
+    assert_eq!(availability(&servers, "a", SECOND), cold(4 * SECOND));
+    servers.apply_change(reported(500), 2 * SECOND);
     assert_eq!(
-        use_of(&servers, "a", 2 * SECOND),
+        availability(&servers, "a", 2 * SECOND),
         cold(Duration::from_millis(2_500))
     );
 
-    // It may become cold again at any moment, and be warm earlier than it said.
-    servers.apply_change(told(0), 3 * SECOND);
-    assert_eq!(use_of(&servers, "a", 3 * SECOND), ServerAvailability::Free);
-    servers.apply_change(told(2_000), 9 * SECOND);
-    assert_eq!(use_of(&servers, "a", 9 * SECOND), cold(11 * SECOND));
+    // It may become cold again at any time, and be warm earlier than reported.
+    servers.apply_change(reported(0), 3 * SECOND);
+    assert_eq!(
+        availability(&servers, "a", 3 * SECOND),
+        ServerAvailability::Free
+    );
+    servers.apply_change(reported(2_000), 9 * SECOND);
+    assert_eq!(availability(&servers, "a", 9 * SECOND), cold(11 * SECOND));
 }
 
-/// On a platform whose entries do not tell, one that comes after the first whole list has started.
+/// On a platform whose entries do not report it, a server listed after the first whole list counts
+/// as just started.
 #[test]
-fn a_server_that_came_untold_is_taken_for_cold() {
+fn a_server_listed_later_without_a_report_counts_as_cold() {
     let listed = |id| ServerChange::Listed(record(id));
     let mut servers = ServerList::default();
     servers.replace_all(vec![listed("a")], SECOND);
 
     servers.apply_change(listed("b"), 2 * SECOND);
 
-    assert_eq!(use_of(&servers, "a", 2 * SECOND), ServerAvailability::Free);
-    assert_eq!(use_of(&servers, "b", 2 * SECOND), cold(5 * SECOND));
-    assert_eq!(use_of(&servers, "b", 5 * SECOND), ServerAvailability::Free);
+    assert_eq!(
+        availability(&servers, "a", 2 * SECOND),
+        ServerAvailability::Free
+    );
+    assert_eq!(availability(&servers, "b", 2 * SECOND), cold(5 * SECOND));
+    assert_eq!(
+        availability(&servers, "b", 5 * SECOND),
+        ServerAvailability::Free
+    );
 }
 
 #[test]
-fn a_leaving_server_and_one_that_is_not_listed_say_so() {
+fn leaving_and_unlisted_servers_are_reported_as_such() {
     let mut servers = list_of(&["a"]);
     let leaving = ServerRecord {
         is_leaving: true,
@@ -386,7 +412,13 @@
     };
     servers.apply_change(ServerChange::Listed(leaving), SECOND);
 
-    assert_eq!(use_of(&servers, "a", SECOND), ServerAvailability::Leaving);
-    assert_eq!(use_of(&servers, "b", SECOND), ServerAvailability::Unlisted);
-    assert!(!use_of(&servers, "a", SECOND).is_usable());
+    assert_eq!(
+        availability(&servers, "a", SECOND),
+        ServerAvailability::Leaving
+    );
+    assert_eq!(
+        availability(&servers, "b", SECOND),
+        ServerAvailability::Unlisted
+    );
+    assert!(!availability(&servers, "a", SECOND).is_usable());
 }
--- /dev/null
+++ b/crates/core/tests/shared_retry_budget.rs
@@ -0,0 +1,97 @@
+//! Retries of several entries within one shared budget.
+
+use std::time::Duration;
+
+use amaranthscale_core::process::{RetryBudgetSettings, SharedRetryBudget};
+use quickcheck::quickcheck;
+
+const SETTINGS: RetryBudgetSettings = RetryBudgetSettings {
+    ratio: 0.2,
+    slack: 56.0,
+    window: Duration::from_secs(10),
+};
+
+const fn ms(ms: u64) -> Duration {
+    Duration::from_millis(ms)
+}
+
+fn retries(budget: &mut SharedRetryBudget, live: usize, now: Duration) -> usize {
+    (0..1_000).filter(|_| budget.try_retry(live, now)).count()
+}
+
+#[test]
+fn a_share_of_the_requests_may_be_retried() {
+    let mut quiet = SharedRetryBudget::new(SETTINGS);
+    let mut busy = SharedRetryBudget::new(SETTINGS);
+    for _ in 0..100 {
+        busy.record_request(ms(1_000));
+    }
+
+    let (quiet, busy) = (
+        retries(&mut quiet, 5, ms(1_000)),
+        retries(&mut busy, 5, ms(1_000)),
+    );
+
+    assert_eq!(busy - quiet, 14);
+}
+
+#[test]
+fn retries_are_available_again_after_their_window() {
+    let mut budget = SharedRetryBudget::new(SETTINGS);
+    let first = retries(&mut budget, 1, ms(1_000));
+
+    assert_eq!(retries(&mut budget, 1, ms(9_000)), 0);
+    assert_eq!(retries(&mut budget, 1, ms(13_000)), first);
+}
+
+/// Every server of a service fails, and every entry retries as often as it may. Together they must
+/// stay within the budget in any window, as otherwise the retries keep the service down.
+#[test]
+fn all_entries_together_stay_within_the_budget() {
+    let entries = 5;
+    let mut budgets = vec![SharedRetryBudget::new(SETTINGS); entries];
+    let mut sent_at = Vec::new();
+
+    for step in 0..600 {
+        let now = ms(step * 50);
+        for budget in &mut budgets {
+            budget.record_request(now);
+            if budget.try_retry(entries, now) {
+                sent_at.push(now);
+            }
+        }
+    }
+
+    let requests_in_window = 10_000 / 50 * entries;
+    let limit =
+        f64::from(u32::try_from(requests_in_window).unwrap()) * SETTINGS.ratio + SETTINGS.slack;
+    for start in &sent_at {
+        let in_window = sent_at
+            .iter()
+            .filter(|at| *at >= start && **at < *start + SETTINGS.window);
+        let in_window = u32::try_from(in_window.count()).unwrap();
+        assert!(f64::from(in_window) <= limit, "{in_window} from {start:?}");
+    }
+}
+
+quickcheck! {
+    fn a_single_entry_never_exceeds_the_budget(steps: Vec<(u8, bool)>) -> bool {
+        let mut budget = SharedRetryBudget::new(SETTINGS);
+        let mut now = Duration::ZERO;
+        let mut requests = Vec::new();
+        let mut retries = Vec::new();
+        steps.into_iter().all(|(pause_ms, is_request)| {
+            now += ms(u64::from(pause_ms) * 4);
+            if is_request {
+                budget.record_request(now);
+                requests.push(now);
+            } else if budget.try_retry(1, now) {
+                retries.push(now);
+            }
+            let within = |at: &&Duration| now.saturating_sub(**at) < SETTINGS.window;
+            let requests = u32::try_from(requests.iter().filter(within).count()).unwrap();
+            let retries = u32::try_from(retries.iter().filter(within).count()).unwrap();
+            f64::from(retries) <= f64::from(requests) * SETTINGS.ratio + SETTINGS.slack
+        })
+    }
+}
--- a/crates/core/tests/support/entries.rs
+++ b/crates/core/tests/support/entries.rs
@@ -1,4 +1,4 @@
-//! Entries and servers by number, and numbers that are the same in each run.
+//! Numbered entries and servers, and a reproducible random generator.
 
 use std::net::SocketAddr;
 
@@ -14,14 +14,14 @@
     (0..count).map(address).collect()
 }
 
-pub fn life(index: usize) -> ServerIncarnation {
+pub fn server_incarnation(index: usize) -> ServerIncarnation {
     format!("server-{index}").parse().unwrap()
 }
 
-/// A small generator of numbers, the same in each run.
-pub struct Numbers(pub u64);
+/// A small random generator with a fixed sequence per seed.
+pub struct FixedRandom(pub u64);
 
-impl Numbers {
+impl FixedRandom {
     pub fn below(&mut self, bound: usize) -> usize {
         self.0 = self
             .0
