--- a/crates/core/tests/claim_rows.rs
+++ b/crates/core/tests/claim_rows.rs
@@ -1,4 +1,4 @@
-//! Reading claim rows, and conditional writes whose answers mislead.
+//! Claim rows, and conditional writes with misleading replies.
 
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::id::{
@@ -66,7 +66,7 @@
     )
 }
 
-/// The row that a write leaves at a version.
+/// The row that a write produces at a version.
 fn row(write: &ConditionalWrite, version: u64) -> Row {
     let sent = write.transaction().writes.remove(0);
     Row {
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn each_state_of_a_claim_reads_back() {
+fn each_state_of_a_claim_is_read_back() {
     let started = row(&claim(0, 1, "w1"), 1);
     let outcome = Outcome::without_result(ResultCode::Complete);
     let result = StoredResult::Inline(vec![0, 255]);
@@ -124,9 +124,9 @@
 }
 
 #[test]
-fn a_row_that_cannot_be_read_is_never_free() {
-    // A grower is paid twice. A row written by another version of the program does not parse, and
-    // the entry takes it for an absent one.
+fn an_unreadable_row_is_never_free() {
+    // A row written by another version of the program cannot be parsed. If the entry treated it as
+    // absent, a grower could be paid twice.
     let corrupt = Row {
         version: RowVersion::new(3),
         value: "{}".to_owned(),
@@ -141,20 +141,20 @@
 }
 
 #[test]
-fn a_row_tells_the_fate_of_an_attempt() {
-    let carried = RowVersion::default();
-    let fate = |row: &Row| attempt_status(row, attempt(1), carried);
+fn a_row_shows_the_status_of_an_attempt() {
+    let ticket_version = RowVersion::default();
+    let status = |row: &Row| attempt_status(row, attempt(1), ticket_version);
 
-    assert_eq!(fate(&absent()), AttemptStatus::MayStart);
-    assert_eq!(fate(&row(&claim(0, 1, "w1"), 1)), AttemptStatus::Claimed);
-    assert_eq!(fate(&row(&claim(0, 2, "w1"), 1)), AttemptStatus::NeverRan);
-    assert_eq!(fate(&row(&cancel(0, "w1"), 1)), AttemptStatus::NeverRan);
+    assert_eq!(status(&absent()), AttemptStatus::MayStart);
+    assert_eq!(status(&row(&claim(0, 1, "w1"), 1)), AttemptStatus::Claimed);
+    assert_eq!(status(&row(&claim(0, 2, "w1"), 1)), AttemptStatus::NeverRan);
+    assert_eq!(status(&row(&cancel(0, "w1"), 1)), AttemptStatus::NeverRan);
 }
 
 #[test]
-fn a_late_reply_to_an_earlier_write_wins_nothing() {
-    // A sidecar makes a call that it never claimed. The reply "committed" to an earlier write of
-    // the same caller arrives late, while it waits for the reply to its claim.
+fn a_late_reply_to_an_earlier_write_does_not_win() {
+    // The "committed" reply to an earlier write of the same sidecar arrives late, while it waits
+    // for the reply to its claim. If that counted, it would make a call that it never claimed.
     let mut second = claim(1, 2, "w2");
     let earlier = row(&cancel(0, "w1"), 1);
 
@@ -166,9 +166,9 @@
 }
 
 #[test]
-fn a_conflict_with_our_own_first_sending_is_a_win() {
-    // A claim is held by nobody for ever. The first answer is lost, the second sending conflicts
-    // with the first, and the sidecar takes that for a loss.
+fn a_conflict_with_our_own_earlier_write_is_a_win() {
+    // The first reply is lost, and the repeated write conflicts with the first one. If the sidecar
+    // treated that as lost, the claim would stay without a holder forever.
     let mut write = claim(0, 1, "w1");
     let own = row(&write, 1);
     assert_eq!(write.next(WriteEvent::Lost), WriteStep::ReadBack);
@@ -182,13 +182,13 @@
 }
 
 #[test]
-fn later_rows_show_one_step_of_history() {
+fn a_later_row_shows_the_write_before_it() {
     let first = row(&claim(0, 1, "w1"), 1);
     let over_first = row(
         &mark_unknown_write(&first, fingerprint(), write_id("w2")),
         2,
     );
-    let bare = row(&claim(1, 2, "w3"), 2);
+    let without_previous = row(&claim(1, 2, "w3"), 2);
     let read_back = |id: &str, row: &Row| claim(0, 1, id).next(WriteEvent::ReadBack(row.clone()));
 
     assert!(matches!(
@@ -200,7 +200,7 @@
         WriteStep::LostTo { .. }
     ));
     assert!(matches!(
-        read_back("w1", &bare),
+        read_back("w1", &without_previous),
         WriteStep::Undecided { .. }
     ));
     assert!(matches!(read_back("w9", &first), WriteStep::LostTo { .. }));
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_moved_check_settles_what_its_own_row_leaves_open() {
+fn a_failed_check_settles_a_write_that_its_own_row_does_not() {
     let lease = Row {
         key: "lease".to_owned(),
         version: RowVersion::new(8),
--- a/crates/core/tests/ledger_random.rs
+++ b/crates/core/tests/ledger_random.rs
@@ -1,4 +1,4 @@
-//! Random calls on one ledger, checked against what each attempt was told.
+//! Random calls of one ledger, checked against its earlier answers for each attempt.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use amaranthscale_core::{Ran, ResultCode};
 use quickcheck::{Arbitrary as _, Gen};
 
-const LIFE: Incarnation = Incarnation::new(3);
+const INCARNATION: Incarnation = Incarnation::new(3);
 const RUNS: u64 = 3_000;
 const CALLS: usize = 200;
 const ATTEMPTS: u32 = 6;
@@ -21,7 +21,7 @@
 };
 
 #[derive(Debug, Default)]
-struct Told {
+struct Answers {
     started: BTreeSet<AttemptId>,
     not_run: BTreeSet<AttemptId>,
     forgotten: usize,
@@ -40,19 +40,22 @@
     u64::arbitrary(random) % choices
 }
 
-/// Makes one random call and keeps what it was told.
-fn call(ledger: &mut Ledger, told: &mut Told, now: &mut SidecarClock, random: &mut Gen) {
+/// Makes one random call and records the answer.
+fn call(ledger: &mut Ledger, answers: &mut Answers, now: &mut SidecarClock, random: &mut Gen) {
     let number = u32::arbitrary(random) % ATTEMPTS;
     let attempt = attempt(number);
     let expiry = SidecarClock::from_millis(20 + 8 * u64::from(number));
     match pick(random, 7) {
         0 | 1 => {
-            let admitted = ledger.admit(attempt, LIFE, expiry, *now);
-            told.full += usize::from(admitted == Err(ResultCode::LedgerFull));
+            let admitted = ledger.admit(attempt, INCARNATION, expiry, *now);
+            answers.full += usize::from(admitted == Err(ResultCode::LedgerFull));
         }
         2 => {
             if ledger.start(attempt, *now).is_ok() {
-                assert!(told.started.insert(attempt), "{attempt} was started twice");
+                assert!(
+                    answers.started.insert(attempt),
+                    "{attempt} was started twice"
+                );
             }
         }
         3 => {
@@ -63,10 +66,10 @@
         4 => {
             if ledger.state(&attempt) == Some(&LedgerState::Queued) {
                 ledger.refuse(attempt, ResultCode::ExpiredInQueue, *now);
-                told.not_run.insert(attempt);
+                answers.not_run.insert(attempt);
             }
         }
-        5 => revoke(ledger, told, attempt, expiry, *now),
+        5 => revoke(ledger, answers, attempt, expiry, *now),
         _ => {
             *now = now.plus(Duration::from_millis(pick(random, 4)));
             ledger.sweep(*now);
@@ -76,28 +79,31 @@
 
 fn revoke(
     ledger: &mut Ledger,
-    told: &mut Told,
+    answers: &mut Answers,
     attempt: AttemptId,
     expiry: SidecarClock,
     now: SidecarClock,
 ) {
-    match ledger.revoke(attempt, LIFE, expiry, now) {
+    match ledger.revoke(attempt, INCARNATION, expiry, now) {
         RevokeAnswer::Revoked => {
-            told.not_run.insert(attempt);
+            answers.not_run.insert(attempt);
         }
         RevokeAnswer::Finished(outcome) if outcome.ran() == Ran::No => {
-            told.not_run.insert(attempt);
+            answers.not_run.insert(attempt);
         }
         RevokeAnswer::Running | RevokeAnswer::Finished(_) => {
-            assert!(told.started.contains(&attempt), "{attempt} was not started");
+            assert!(
+                answers.started.contains(&attempt),
+                "{attempt} was not started"
+            );
         }
-        RevokeAnswer::Forgotten => told.forgotten += 1,
-        RevokeAnswer::OtherIncarnation => panic!("there is one life only"),
+        RevokeAnswer::Forgotten => answers.forgotten += 1,
+        RevokeAnswer::OtherIncarnation => panic!("there is only one incarnation"),
     }
 }
 
-fn check(ledger: &Ledger, told: &Told) {
-    assert!(told.started.is_disjoint(&told.not_run), "{told:?}");
+fn check(ledger: &Ledger, answers: &Answers) {
+    assert!(answers.started.is_disjoint(&answers.not_run), "{answers:?}");
     assert!(ledger.len() <= LIMITS.max_entries);
     let mut counts = BTreeMap::new();
     for state in (0..ATTEMPTS).filter_map(|number| ledger.state(&attempt(number))) {
@@ -111,32 +117,32 @@
 }
 
 #[test]
-fn what_a_ledger_says_never_changes() {
+fn a_ledger_never_contradicts_itself() {
     let (mut starts, mut forgotten, mut full) = (0, 0, 0);
     for seed in 0..RUNS {
         let mut random = Gen::from_size_and_seed(10, seed);
-        let mut ledger = Ledger::new(LIFE, LIMITS);
-        let (mut told, mut now) = (Told::default(), SidecarClock::default());
+        let mut ledger = Ledger::new(INCARNATION, LIMITS);
+        let (mut answers, mut now) = (Answers::default(), SidecarClock::default());
         for _ in 0..CALLS {
-            call(&mut ledger, &mut told, &mut now, &mut random);
-            check(&ledger, &told);
+            call(&mut ledger, &mut answers, &mut now, &mut random);
+            check(&ledger, &answers);
         }
-        starts += told.started.len();
-        forgotten += told.forgotten;
-        full += told.full;
+        starts += answers.started.len();
+        forgotten += answers.forgotten;
+        full += answers.full;
     }
     println!("{RUNS} runs of {CALLS} calls: {starts} starts, {forgotten} forgotten, {full} full");
     assert!(starts > 0 && forgotten > 0 && full > 0);
 }
 
 #[test]
-fn a_clock_that_steps_back_revives_nothing() {
-    // A caller sees one notice sent twice. The ledger drops a finished attempt at its latest
-    // reading; a task that read the clock earlier then admits a copy that looks in time.
-    let mut ledger = Ledger::new(LIFE, LIMITS);
+fn a_clock_that_steps_back_does_not_readmit_an_attempt() {
+    // The ledger drops a finished attempt, and a task with an earlier clock reading then delivers a
+    // copy of it that seems not to have expired. If it ran, a notice would be sent twice.
+    let mut ledger = Ledger::new(INCARNATION, LIMITS);
     let (early, expiry) = (SidecarClock::from_millis(5), SidecarClock::from_millis(20));
     ledger
-        .admit(attempt(0), LIFE, expiry, early)
+        .admit(attempt(0), INCARNATION, expiry, early)
         .expect("the ledger is empty");
     ledger
         .start(attempt(0), early)
@@ -148,18 +154,18 @@
     );
 
     ledger.sweep(SidecarClock::from_millis(100));
-    let admitted = ledger.admit(attempt(0), LIFE, expiry, early);
+    let admitted = ledger.admit(attempt(0), INCARNATION, expiry, early);
 
     assert!(ledger.is_empty());
     assert_eq!(admitted, Err(ResultCode::AttemptExpired));
 }
 
 #[test]
-fn a_full_ledger_promises_nothing_about_an_absent_attempt() {
-    // A caller is told "not run" and its call runs. A full ledger has no room for the tombstone
-    // that would refuse the delayed dispatch.
+fn a_full_ledger_gives_no_guarantee_about_an_absent_attempt() {
+    // A full ledger cannot record the tombstone that would refuse a delayed dispatch. If it
+    // answered "revoked", a call reported as not run could run.
     let mut ledger = Ledger::new(
-        LIFE,
+        INCARNATION,
         LedgerLimits {
             max_entries: 1,
             ..LIMITS
@@ -167,10 +173,10 @@
     );
     let (now, expiry) = (SidecarClock::from_millis(5), SidecarClock::from_millis(20));
     ledger
-        .admit(attempt(0), LIFE, expiry, now)
+        .admit(attempt(0), INCARNATION, expiry, now)
         .expect("the ledger is empty");
 
-    let answer = ledger.revoke(attempt(1), LIFE, expiry, now);
+    let answer = ledger.revoke(attempt(1), INCARNATION, expiry, now);
 
     assert_eq!(answer, RevokeAnswer::Forgotten);
 }
--- a/crates/core/tests/request_fingerprint.rs
+++ b/crates/core/tests/request_fingerprint.rs
@@ -1,4 +1,4 @@
-//! What a request is by its content.
+//! Fingerprints of requests.
 
 #![expect(clippy::unwrap_used, reason = "fixtures of tests may panic")]
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn each_part_of_a_request_tells_it_from_others() {
+fn each_part_of_a_request_changes_its_fingerprint() {
     let first = fingerprint("north", "h.example", "/a/", "body");
 
     assert_eq!(first, fingerprint("north", "h.example", "/a/", "body"));
@@ -29,9 +29,9 @@
     );
 }
 
-/// A caller that moves bytes from its path to its body must not take another request's name.
+/// A caller that moves bytes from its path to its body must not get another request's fingerprint.
 #[test]
-fn parts_of_a_request_do_not_run_into_each_other() {
+fn the_parts_of_a_request_are_delimited() {
     let first = fingerprint("north", "h.example", "/a/b", "c");
 
     assert_ne!(first, fingerprint("north", "h.example", "/a/", "bc"));
@@ -39,14 +39,14 @@
 }
 
 quickcheck! {
-    fn a_fingerprint_reads_back_from_its_text(host: String, path: String, body: Vec<u8>) -> bool {
+    fn a_fingerprint_is_parsed_from_its_text(host: String, path: String, body: Vec<u8>) -> bool {
         let fingerprint = RequestFingerprint::of(None, &host, &path, &body);
         fingerprint.to_string().parse() == Ok(fingerprint)
     }
 }
 
 #[test]
-fn what_is_no_fingerprint_is_refused_with_its_text() {
+fn invalid_text_is_refused_with_an_error_that_contains_it() {
     for text in [
         "",
         "abc",
--- a/crates/core/tests/result_codes.rs
+++ b/crates/core/tests/result_codes.rs
@@ -1,4 +1,4 @@
-//! The page of result codes says what the code says.
+//! Checks docs/RESULT-CODES.md against the result codes.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 const PAGE: &str = include_str!("../../../docs/RESULT-CODES.md");
 
-/// The cells of each row of the page, by number.
+/// The cells of each table row of the page, by number.
 fn rows() -> BTreeMap<u16, Vec<String>> {
     let cells = |line: &str| -> Vec<String> {
         line.trim_matches('|')
@@ -22,17 +22,17 @@
 }
 
 #[test]
-fn the_page_lists_every_code_as_the_code_has_it() {
+fn the_page_lists_every_code_correctly() {
     let rows = rows();
 
     for code in ResultCode::ALL {
         let row = rows.get(&code.number()).expect("a row for each code");
-        let again = if code.is_retryable() { "yes" } else { "no" };
+        let is_retryable = if code.is_retryable() { "yes" } else { "no" };
         let expected = [
             code.name(),
             &code.http_status().to_string(),
             &code.ran().to_string(),
-            again,
+            is_retryable,
             code.text(),
         ];
         assert_eq!(row[1..6], expected, "row {code}");
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_number_reads_back_as_its_code() {
+fn a_number_is_parsed_as_its_code() {
     for code in ResultCode::ALL {
         assert_eq!(ResultCode::try_from(code.number()), Ok(*code));
     }
--- a/crates/core/tests/spec_limits.rs
+++ b/crates/core/tests/spec_limits.rs
@@ -1,10 +1,11 @@
-//! Every order of events in a small world: two entries and a server that names a limit and later none.
+//! Exhaustive search over the event orders of a small model: two entries and a server that reports
+//! a rate limit and later none.
 //!
-//! Entries send bursts, hear the server's word with its answers and each other's through the store,
-//! late answers to earlier requests arrive at any time. What must hold in every order: those that have
-//! heard of the limit keep within it together, in every span; and once it is over and words have been
-//! told, everyone uses the server in full again. Each guard is switched off in turn, and the search
-//! must then find an order that breaks a promise.
+//! Entries send bursts, learn of the limit from the server's answers and from each other through
+//! the store, and answers to earlier requests may arrive at any time. In every order, the entries
+//! that know the limit must together stay within it in every window; and once it has ended and this
+//! was published, no entry may be limited any more. Each guard is disabled in turn, and the search
+//! must then find an order that violates one of these rules.
 
 #![expect(clippy::unwrap_used, reason = "fixtures of tests may panic")]
 
@@ -20,63 +21,63 @@
 const ENTRIES: usize = 2;
 const DEPTH: usize = 18;
 const STEP: Duration = Duration::from_millis(500);
-/// Span in which the server counts.
-const SPAN: Duration = Duration::from_secs(4);
-/// Servers of its service, so many that one entry is enough for each.
+/// Window in which the server counts requests.
+const WINDOW: Duration = Duration::from_secs(4);
+/// Servers of its service; so many that each server is sent to by one entry only.
 const SERVERS: usize = 6;
-/// What the server names; slow enough that one of the two entries sends for both.
+/// Reported limit; so low that only one of the two entries has a share.
 const PER_S: &str = "1";
-/// Requests that may reach the server in a span.
+/// Maximum requests that may reach the server in a window.
 const ALLOWED: usize = 11;
-/// Requests of one burst.
+/// Requests in a burst.
 const BURST: usize = 12;
 
 #[derive(Clone, Copy)]
 struct Guards {
     counts_sends: bool,
-    late_answers_end_nothing: bool,
-    ends_are_told: bool,
+    ignores_late_answers: bool,
+    publishes_ends: bool,
 }
 
 const ALL: Guards = Guards {
     counts_sends: true,
-    late_answers_end_nothing: true,
-    ends_are_told: true,
+    ignores_late_answers: true,
+    publishes_ends: true,
 };
 
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    /// The server names no limit any more.
+    /// The server's limit ends.
     End,
-    /// An entry has many requests for the server.
+    /// An entry receives a burst of requests for the server.
     Burst(usize),
-    /// An answer arrives to a request that left before the limit.
+    /// An entry receives the answer to a request sent before the limit was reported.
     LateAnswer(usize),
-    /// An entry tells the store what it heard.
-    Tell(usize),
-    /// An entry hears what the store says.
-    Hear(usize),
-    Pass,
+    /// An entry publishes to the store.
+    Publish(usize),
+    /// An entry reads from the store.
+    Read(usize),
+    Wait,
 }
 
 #[derive(Clone)]
 struct Entry {
-    words: ReportedLimits,
+    limits: ReportedLimits,
     sends: RecentSends,
 }
 
 #[derive(Clone)]
-struct World {
+struct Model {
     guards: Guards,
     now: Duration,
-    named: Option<ServerLimit>,
-    stored: Option<ServerLimit>,
-    /// Sends of entries that had heard of the limit while it was named.
+    reported: Option<ServerLimit>,
+    published: Option<ServerLimit>,
+    /// Times of sends during the limit by entries that knew it.
     sent_at: Vec<Duration>,
     entries: Vec<Entry>,
 }
 
-fn life() -> ServerIncarnation {
+fn server() -> ServerIncarnation {
     "a".parse().unwrap()
 }
 
@@ -87,60 +88,60 @@
     let bound = SendRateLimit::Limited {
         max_per_s: limit.per_s(),
     };
-    bound.share_of_entry(&life(), SERVERS, all[own], &all)
+    bound.share_of_entry(&server(), SERVERS, all[own], &all)
 }
 
-impl World {
-    /// The server names its limit, and both entries have just heard it.
+impl Model {
+    /// The server reports its limit, and both entries have just received it.
     fn new(guards: Guards) -> Self {
-        let named = Some(PER_S.parse().unwrap());
+        let reported = Some(PER_S.parse().unwrap());
         let now = Duration::from_secs(10);
         let mut entry = Entry {
-            words: ReportedLimits::default(),
+            limits: ReportedLimits::default(),
             sends: RecentSends::default(),
         };
-        entry.words.record_answer(&life(), named, now, now);
+        entry.limits.record_answer(&server(), reported, now, now);
         Self {
             guards,
             now: now + STEP,
-            named,
-            stored: None,
+            reported,
+            published: None,
             sent_at: Vec::new(),
             entries: vec![entry; ENTRIES],
         }
     }
 
-    fn happen(&mut self, event: Event) -> Result<(), String> {
+    fn apply(&mut self, event: Event) -> Result<(), String> {
         match event {
-            Event::End => self.named = None,
+            Event::End => self.reported = None,
             Event::Burst(one) => return self.burst(one),
             Event::LateAnswer(one) => {
-                let sent_at = if self.guards.late_answers_end_nothing {
+                let sent_at = if self.guards.ignores_late_answers {
                     Duration::ZERO
                 } else {
                     self.now
                 };
-                let words = &mut self.entries[one].words;
-                words.record_answer(&life(), None, sent_at, self.now);
+                let limits = &mut self.entries[one].limits;
+                limits.record_answer(&server(), None, sent_at, self.now);
             }
-            Event::Tell(one) => self.tell(one),
-            Event::Hear(one) => {
-                let words = &mut self.entries[one].words;
-                words.apply_published(&life(), self.stored, self.now);
+            Event::Publish(one) => self.publish(one),
+            Event::Read(one) => {
+                let limits = &mut self.entries[one].limits;
+                limits.apply_published(&server(), self.published, self.now);
             }
-            Event::Pass => self.now += STEP,
+            Event::Wait => self.now += STEP,
         }
         Ok(())
     }
 
-    fn tell(&mut self, one: usize) {
-        let words = &mut self.entries[one].words;
-        for (server, limit) in words.unpublished() {
-            if limit.is_none() && !self.guards.ends_are_told {
+    fn publish(&mut self, one: usize) {
+        let limits = &mut self.entries[one].limits;
+        for (server, limit) in limits.unpublished() {
+            if limit.is_none() && !self.guards.publishes_ends {
                 continue;
             }
-            self.stored = limit;
-            words.mark_published(&server, limit);
+            self.published = limit;
+            limits.mark_published(&server, limit);
         }
     }
 
@@ -149,11 +150,11 @@
         let mut sent = 0;
         for _ in 0..BURST {
             let entry = &mut self.entries[one];
-            if entry.words.limit(&life()).is_some() {
+            if entry.limits.limit(&server()).is_some() {
                 let may_send = if self.guards.counts_sends {
-                    entry.sends.try_send(&life(), share, self.now)
+                    entry.sends.try_send(&server(), share, self.now)
                 } else {
-                    entry.sends.can_send(&life(), share, self.now)
+                    entry.sends.can_send(&server(), share, self.now)
                 };
                 if !may_send {
                     break;
@@ -161,125 +162,134 @@
             }
             sent += 1;
         }
-        if self.named.is_some() {
+        if self.reported.is_some() {
             self.sent_at.extend(std::iter::repeat_n(self.now, sent));
         }
         if sent > 0 {
-            let words = &mut self.entries[one].words;
-            words.record_answer(&life(), self.named, self.now, self.now);
+            let limits = &mut self.entries[one].limits;
+            limits.record_answer(&server(), self.reported, self.now, self.now);
         }
-        let recent = self.sent_at.iter().filter(|at| **at + SPAN > self.now);
+        let recent = self.sent_at.iter().filter(|at| **at + WINDOW > self.now);
         let recent = recent.count();
         if recent > ALLOWED {
-            return Err(format!("{recent} requests in a span"));
+            return Err(format!("{recent} requests in a window"));
         }
         Ok(())
     }
 
-    /// Once the limit is over and all have sent, told and heard, it binds nobody.
+    /// After the limit has ended and all entries have sent, published and read, it applies to none.
     fn check_end(&self) -> Result<(), String> {
-        if self.named.is_some() {
+        if self.reported.is_some() {
             return Ok(());
         }
-        let mut calm = self.clone();
+        let mut settled = self.clone();
         for _ in 0..2 {
-            calm.now += 4 * SPAN;
+            settled.now += 4 * WINDOW;
             for one in 0..ENTRIES {
-                calm.burst(one)?;
-                calm.tell(one);
+                settled.burst(one)?;
+                settled.publish(one);
             }
-            for entry in &mut calm.entries {
-                entry.words.apply_published(&life(), calm.stored, calm.now);
+            for entry in &mut settled.entries {
+                entry
+                    .limits
+                    .apply_published(&server(), settled.published, settled.now);
             }
         }
-        let is_bound = |entry: &Entry| entry.words.limit(&life()).is_some();
-        if calm.entries.iter().any(is_bound) {
-            return Err("a limit that is over still binds an entry".to_owned());
+        let is_limited = |entry: &Entry| entry.limits.limit(&server()).is_some();
+        if settled.entries.iter().any(is_limited) {
+            return Err("a limit that has ended still applies to an entry".to_owned());
         }
         Ok(())
     }
 
-    /// What later events depend on.
+    /// The state that later events depend on.
     fn key(&self) -> String {
         let entries = self.entries.iter().enumerate().map(|(one, entry)| {
-            let next = entry.sends.next_choice_at(&life(), share(one), self.now);
+            let next = entry.sends.next_choice_at(&server(), share(one), self.now);
             let next = next.map(|at| at.saturating_sub(self.now));
-            (entry.words.limit(&life()), entry.words.unpublished(), next)
+            (
+                entry.limits.limit(&server()),
+                entry.limits.unpublished(),
+                next,
+            )
         });
         let entries: Vec<_> = entries.collect();
         let recent = self.sent_at.iter();
         let recent = recent.map(|at| self.now.saturating_sub(*at));
-        let recent: Vec<_> = recent.filter(|age| *age < SPAN).collect();
-        format!("{:?} {:?} {entries:?} {recent:?}", self.named, self.stored)
+        let recent: Vec<_> = recent.filter(|age| *age < WINDOW).collect();
+        format!(
+            "{:?} {:?} {entries:?} {recent:?}",
+            self.reported, self.published
+        )
     }
 }
 
-/// Searches all orders of events; the first that breaks a promise, and how many worlds were seen.
+/// Searches all orders of events; returns the first violation, and the number of states visited.
 fn search(guards: Guards) -> (Option<String>, usize) {
-    let mut events = vec![Event::End, Event::Pass];
+    let mut events = vec![Event::End, Event::Wait];
     for one in 0..ENTRIES {
         events.extend([
             Event::Burst(one),
             Event::LateAnswer(one),
-            Event::Tell(one),
-            Event::Hear(one),
+            Event::Publish(one),
+            Event::Read(one),
         ]);
     }
-    let mut seen = BTreeSet::new();
-    let mut open = vec![(World::new(guards), Vec::new())];
-    while let Some((world, path)) = open.pop() {
-        if let Err(broken) = world.check_end() {
-            return (Some(format!("{broken}: {path:?}")), seen.len());
+    let mut visited = BTreeSet::new();
+    let mut open = vec![(Model::new(guards), Vec::new())];
+    while let Some((model, path)) = open.pop() {
+        if let Err(violation) = model.check_end() {
+            return (Some(format!("{violation}: {path:?}")), visited.len());
         }
-        if path.len() == DEPTH || !seen.insert((path.len(), world.key())) {
+        if path.len() == DEPTH || !visited.insert((path.len(), model.key())) {
             continue;
         }
         for event in &events {
-            let (mut next, mut path) = (world.clone(), path.clone());
+            let (mut next, mut path) = (model.clone(), path.clone());
             path.push(*event);
-            if let Err(broken) = next.happen(*event) {
-                return (Some(format!("{broken}: {path:?}")), seen.len());
+            if let Err(violation) = next.apply(*event) {
+                return (Some(format!("{violation}: {path:?}")), visited.len());
             }
             open.push((next, path));
         }
     }
-    (None, seen.len())
+    (None, visited.len())
 }
 
 #[test]
-fn no_order_of_events_breaks_a_promise() {
-    let (broken, seen) = search(ALL);
+fn no_order_of_events_violates_a_rule() {
+    let (violation, visited) = search(ALL);
 
-    assert_eq!(broken, None);
-    assert!(seen > 2_000, "only {seen} worlds");
+    assert_eq!(violation, None);
+    assert!(visited > 2_000, "only {visited} states");
 }
 
 #[test]
-fn without_counting_sends_a_burst_breaks_the_limit() {
+fn without_counting_sends_a_burst_exceeds_the_limit() {
     let guards = Guards {
         counts_sends: false,
         ..ALL
     };
-    let broken = search(guards).0.unwrap();
-    assert!(broken.contains("in a span"), "{broken}");
+    let violation = search(guards).0.unwrap();
+    assert!(violation.contains("in a window"), "{violation}");
 }
 
 #[test]
-fn with_late_answers_ending_it_a_limit_is_broken() {
+fn without_ignoring_late_answers_the_limit_is_exceeded() {
     let guards = Guards {
-        late_answers_end_nothing: false,
+        ignores_late_answers: false,
         ..ALL
     };
-    let broken = search(guards).0.unwrap();
-    assert!(broken.contains("in a span"), "{broken}");
+    let violation = search(guards).0.unwrap();
+    assert!(violation.contains("in a window"), "{violation}");
 }
 
 #[test]
-fn without_telling_its_end_a_limit_binds_for_good() {
+fn without_publishing_its_end_a_limit_never_ends() {
     let guards = Guards {
-        ends_are_told: false,
+        publishes_ends: false,
         ..ALL
     };
-    let broken = search(guards).0.unwrap();
-    assert!(broken.contains("still binds"), "{broken}");
+    let violation = search(guards).0.unwrap();
+    assert!(violation.contains("still applies"), "{violation}");
 }
--- a/crates/core/tests/spec_quarantine.rs
+++ b/crates/core/tests/spec_quarantine.rs
@@ -1,9 +1,11 @@
-//! Every interleaving of a small deployment with a request that crashes each server that runs it.
+//! Exhaustive search over the interleavings of a small deployment with a request that crashes each
+//! server that runs it.
 //!
-//! Three gateways around the core's own quarantine, one store. The request comes at any gateway at any
-//! moment, each try of it may reach two servers, and one gateway is killed with all that it has not
-//! told. Then all is quiet: what was seen is told and read. From there on at most three servers may be
-//! reached. Each guard is left out once to show that the search finds what it guards against.
+//! Three gateways use the core's quarantine and one store. The request arrives at any gateway at
+//! any time, each call of it may reach two servers, and one gateway is killed with its unpublished
+//! evidence. Then the system becomes quiescent: all evidence is published and read. From then on at
+//! most three servers may be reached. Each guard is disabled once to show that the search finds the
+//! fault that it prevents.
 
 #![expect(clippy::unwrap_used, reason = "fixtures of tests may panic")]
 
@@ -14,30 +16,30 @@
 use amaranthscale_core::process::{CrashEvidence, Quarantine, QuarantineState};
 
 const GATEWAYS: usize = 3;
-/// Servers that one try of a caller may reach.
-const MOST_OF_TRY: usize = 2;
-/// Tries before all is quiet, and as many after it.
-const MOST_TRIES: usize = 2;
-const MOST_KILLS: usize = 1;
-/// Servers that may be reached once all is quiet.
-const MOST_AFTER: usize = 3;
-/// Servers that must have crashed before.
+/// Maximum servers that one call may reach.
+const MAX_SERVERS_PER_CALL: usize = 2;
+/// Maximum calls before the system is quiescent, and as many after it.
+const MAX_CALLS: usize = 2;
+const MAX_KILLS: usize = 1;
+/// Maximum servers that may be reached after the system is quiescent.
+const MAX_SERVERS_AFTER: usize = 3;
+/// Servers that must have crashed before the system is quiescent.
 const CRASHED_BEFORE: usize = 3;
-/// When all is quiet; what is learnt after it is not yet confirmed.
-const QUIET_AT: Duration = Duration::from_secs(10);
+/// Time when the system is quiescent; evidence added after it is not confirmed yet.
+const QUIESCENT_AT: Duration = Duration::from_secs(10);
 
-/// Parts of the protocol that can be left out.
+/// Parts of the protocol that can be disabled.
 #[derive(Debug, Clone, Copy)]
 struct Guards {
-    tells_others: bool,
+    publishes_evidence: bool,
     reads_at_start: bool,
-    runs_one_at_a_time: bool,
+    allows_single_runs_only: bool,
 }
 
 const ALL: Guards = Guards {
-    tells_others: true,
+    publishes_evidence: true,
     reads_at_start: true,
-    runs_one_at_a_time: true,
+    allows_single_runs_only: true,
 };
 
 type Rows = BTreeMap<EvidenceId, CrashEvidence>;
@@ -46,24 +48,24 @@
 struct Gateway {
     quarantine: Quarantine,
     known: BTreeSet<EvidenceId>,
-    /// Told to nobody yet.
-    untold: Rows,
-    /// Servers that its open try has reached; none while it has no try.
+    /// Evidence not published yet.
+    unpublished: Rows,
+    /// Number of servers that its open call has reached; `None` without an open call.
     reached: Option<usize>,
-    /// Whether the open try holds the claim.
+    /// Whether the open call holds the claim of a single run.
     has_claim: bool,
 }
 
 #[derive(Debug, Clone, Default)]
-struct World {
+struct Model {
     gateways: Vec<Gateway>,
     store: Rows,
     crashed: usize,
-    tries: usize,
+    calls: usize,
     kills: usize,
-    /// Servers reached since all was quiet.
-    after: Option<usize>,
-    /// Moves that led here, by gateway.
+    /// Servers reached since the system was quiescent; `None` before.
+    reached_after: Option<usize>,
+    /// Transitions that led here, with the gateway of each.
     trace: Vec<(&'static str, usize)>,
 }
 
@@ -75,7 +77,7 @@
     "single".parse().unwrap()
 }
 
-impl World {
+impl Model {
     fn new() -> Self {
         Self {
             gateways: vec![Gateway::default(); GATEWAYS],
@@ -84,141 +86,146 @@
     }
 
     fn now(&self) -> Duration {
-        if self.after.is_some() {
-            QUIET_AT
+        if self.reached_after.is_some() {
+            QUIESCENT_AT
         } else {
             Duration::ZERO
         }
     }
 
-    /// What tells two worlds apart.
+    /// The state that identifies a model.
     fn key(&self) -> String {
         let gateways = self.gateways.iter().map(|gateway| {
-            let untold: Vec<_> = gateway.untold.keys().collect();
-            (&gateway.known, untold, gateway.reached, gateway.has_claim)
+            let unpublished: Vec<_> = gateway.unpublished.keys().collect();
+            (
+                &gateway.known,
+                unpublished,
+                gateway.reached,
+                gateway.has_claim,
+            )
         });
-        // Gateways are alike, so their order tells nothing.
+        // Gateways are interchangeable, so their order does not matter.
         let mut gateways: Vec<_> = gateways.map(|gateway| format!("{gateway:?}")).collect();
         gateways.sort();
         let store: Vec<_> = self.store.keys().collect();
-        let counts = (self.crashed, self.tries, self.kills, self.after);
+        let counts = (self.crashed, self.calls, self.kills, self.reached_after);
         format!("{gateways:?} {store:?} {counts:?}")
     }
 
-    /// All worlds that one move leads to.
+    /// All successors of this state.
     fn next(&self, guards: Guards) -> Vec<Self> {
         let mut next = Vec::new();
         for index in 0..GATEWAYS {
-            next.extend(self.begin(index, guards));
-            next.extend(self.reach(index, guards));
+            next.extend(self.receive(index, guards));
+            next.extend(self.send(index, guards));
             next.extend(self.end(index));
-            next.extend(self.tell(index, guards));
+            next.extend(self.publish(index, guards));
             next.extend(self.read(index, guards));
             next.extend(self.kill(index, guards));
         }
-        next.extend(self.be_quiet(guards));
+        next.extend(self.become_quiescent(guards));
         next
     }
 
-    fn moved(&self, what: &'static str, index: usize) -> Self {
-        let mut world = self.clone();
-        world.trace.push((what, index));
-        world
+    fn transition(&self, what: &'static str, index: usize) -> Self {
+        let mut model = self.clone();
+        model.trace.push((what, index));
+        model
     }
 
-    /// The request comes at a gateway.
-    fn begin(&self, index: usize, guards: Guards) -> Option<Self> {
+    /// The request arrives at a gateway.
+    fn receive(&self, index: usize, guards: Guards) -> Option<Self> {
         let gateway = &self.gateways[index];
-        if gateway.reached.is_some() || self.tries >= MOST_TRIES {
+        if gateway.reached.is_some() || self.calls >= MAX_CALLS {
             return None;
         }
-        let mut world = self.moved("takes it", index);
-        world.tries += 1;
+        let mut model = self.transition("receives the request", index);
+        model.calls += 1;
         match gateway.quarantine.state(culprit(), self.now()) {
             QuarantineState::Quarantined(_) => {}
-            QuarantineState::SingleRun if guards.runs_one_at_a_time => {
+            QuarantineState::SingleRun if guards.allows_single_runs_only => {
                 if !self.store.contains_key(&claim_id()) {
                     let mut claim = CrashEvidence::default();
                     claim.add_crash(&format!("single-g{index}").parse().unwrap(), culprit());
-                    world.store.insert(claim_id(), claim);
-                    world.gateways[index].reached = Some(0);
-                    world.gateways[index].has_claim = true;
+                    model.store.insert(claim_id(), claim);
+                    model.gateways[index].reached = Some(0);
+                    model.gateways[index].has_claim = true;
                 }
             }
             QuarantineState::SingleRun | QuarantineState::Suspected | QuarantineState::Clear => {
-                world.gateways[index].reached = Some(0);
+                model.gateways[index].reached = Some(0);
             }
         }
-        Some(world)
+        Some(model)
     }
 
-    /// An open try reaches its next server, which crashes.
-    fn reach(&self, index: usize, guards: Guards) -> Option<Self> {
+    /// An open call reaches its next server, which crashes.
+    fn send(&self, index: usize, guards: Guards) -> Option<Self> {
         let gateway = &self.gateways[index];
         let reached = gateway.reached?;
         let verdict = gateway.quarantine.state(culprit(), self.now());
         let is_last = match verdict {
             QuarantineState::Quarantined(_) => true,
             QuarantineState::SingleRun => {
-                guards.runs_one_at_a_time && (reached > 0 || !gateway.has_claim)
+                guards.allows_single_runs_only && (reached > 0 || !gateway.has_claim)
             }
             QuarantineState::Suspected | QuarantineState::Clear => false,
         };
-        if reached >= MOST_OF_TRY || is_last {
+        if reached >= MAX_SERVERS_PER_CALL || is_last {
             return None;
         }
-        let mut world = self.moved("sends it", index);
+        let mut model = self.transition("sends the request", index);
         let id: EvidenceId = format!("e{}", self.crashed).parse().unwrap();
         let mut evidence = CrashEvidence::default();
         evidence.add_crash(&format!("s{}", self.crashed).parse().unwrap(), culprit());
-        world.crashed += 1;
-        world.after = world.after.map(|after| after + 1);
+        model.crashed += 1;
+        model.reached_after = model.reached_after.map(|reached_after| reached_after + 1);
         let now = self.now();
-        let gateway = &mut world.gateways[index];
+        let gateway = &mut model.gateways[index];
         gateway.reached = Some(reached + 1);
         gateway
             .quarantine
             .add_evidence(id.clone(), evidence.clone(), now);
         gateway.known.insert(id.clone());
-        gateway.untold.insert(id, evidence);
-        Some(world)
+        gateway.unpublished.insert(id, evidence);
+        Some(model)
     }
 
-    /// An open try ends; its claim does once all that it saw is told.
+    /// An open call ends; one with a claim only after its evidence was published.
     fn end(&self, index: usize) -> Option<Self> {
         let gateway = &self.gateways[index];
         gateway.reached?;
-        if gateway.has_claim && !gateway.untold.is_empty() {
+        if gateway.has_claim && !gateway.unpublished.is_empty() {
             return None;
         }
-        let mut world = self.moved("ends its try", index);
-        if std::mem::take(&mut world.gateways[index].has_claim) {
-            world.store.remove(&claim_id());
+        let mut model = self.transition("ends its call", index);
+        if std::mem::take(&mut model.gateways[index].has_claim) {
+            model.store.remove(&claim_id());
         }
-        world.gateways[index].reached = None;
-        Some(world)
+        model.gateways[index].reached = None;
+        Some(model)
     }
 
-    fn tell(&self, index: usize, guards: Guards) -> Option<Self> {
-        if self.gateways[index].untold.is_empty() || !guards.tells_others {
+    fn publish(&self, index: usize, guards: Guards) -> Option<Self> {
+        if self.gateways[index].unpublished.is_empty() || !guards.publishes_evidence {
             return None;
         }
-        let mut world = self.moved("tells", index);
-        let untold = std::mem::take(&mut world.gateways[index].untold);
-        world.store.extend(untold);
-        Some(world)
+        let mut model = self.transition("publishes", index);
+        let unpublished = std::mem::take(&mut model.gateways[index].unpublished);
+        model.store.extend(unpublished);
+        Some(model)
     }
 
     fn read(&self, index: usize, guards: Guards) -> Option<Self> {
-        let mut world = self.moved("reads", index);
-        world.read_store(index, guards);
-        (world.gateways[index].known != self.gateways[index].known).then_some(world)
+        let mut model = self.transition("reads", index);
+        model.read_store(index, guards);
+        (model.gateways[index].known != self.gateways[index].known).then_some(model)
     }
 
     fn read_store(&mut self, index: usize, guards: Guards) {
         let now = self.now();
         let gateway = &mut self.gateways[index];
-        if !guards.tells_others {
+        if !guards.publishes_evidence {
             return;
         }
         for (id, evidence) in &self.store {
@@ -234,75 +241,78 @@
         }
     }
 
-    /// A gateway is killed and starts again; what it had not told is lost.
+    /// A gateway is killed and restarts; its unpublished evidence is lost.
     fn kill(&self, index: usize, guards: Guards) -> Option<Self> {
-        if self.kills >= MOST_KILLS || self.after.is_some() {
+        if self.kills >= MAX_KILLS || self.reached_after.is_some() {
             return None;
         }
-        let mut world = self.moved("is killed", index);
-        world.kills += 1;
-        world.gateways[index] = Gateway::default();
+        let mut model = self.transition("is killed", index);
+        model.kills += 1;
+        model.gateways[index] = Gateway::default();
         if guards.reads_at_start {
-            world.read_store(index, guards);
+            model.read_store(index, guards);
         }
-        Some(world)
+        Some(model)
     }
 
-    /// Three servers have crashed, and time passes without a try: all that was seen is told and read.
-    fn be_quiet(&self, guards: Guards) -> Option<Self> {
+    /// After three crashes, time passes without an open call: all evidence is published and read.
+    fn become_quiescent(&self, guards: Guards) -> Option<Self> {
         let is_open = self
             .gateways
             .iter()
             .any(|gateway| gateway.reached.is_some());
-        if self.after.is_some() || self.crashed < CRASHED_BEFORE || is_open {
+        if self.reached_after.is_some() || self.crashed < CRASHED_BEFORE || is_open {
             return None;
         }
-        let mut world = self.moved("all is quiet", 0);
+        let mut model = self.transition("the system is quiescent", 0);
         for index in 0..GATEWAYS {
-            if let Some(told) = world.tell(index, guards) {
-                world = told;
+            if let Some(published) = model.publish(index, guards) {
+                model = published;
             }
         }
         for index in 0..GATEWAYS {
             if guards.reads_at_start {
-                world.read_store(index, guards);
+                model.read_store(index, guards);
             }
         }
-        world.after = Some(0);
-        world.tries = 0;
-        Some(world)
+        model.reached_after = Some(0);
+        model.calls = 0;
+        Some(model)
     }
 }
 
-/// Searches all worlds; the trace of one that breaks the bound, and how many there are.
+/// Searches all states; returns the trace of one that violates the limit, and the number of states.
 fn search(guards: Guards) -> (Option<Vec<(&'static str, usize)>>, usize) {
-    let mut open = VecDeque::from([World::new()]);
-    let mut seen = BTreeSet::new();
-    while let Some(world) = open.pop_front() {
-        if world.after.is_some_and(|after| after > MOST_AFTER) {
-            return (Some(world.trace), seen.len());
+    let mut open = VecDeque::from([Model::new()]);
+    let mut visited = BTreeSet::new();
+    while let Some(model) = open.pop_front() {
+        if model
+            .reached_after
+            .is_some_and(|reached_after| reached_after > MAX_SERVERS_AFTER)
+        {
+            return (Some(model.trace), visited.len());
         }
-        for next in world.next(guards) {
-            if seen.insert(next.key()) {
+        for next in model.next(guards) {
+            if visited.insert(next.key()) {
                 open.push_back(next);
             }
         }
     }
-    (None, seen.len())
+    (None, visited.len())
 }
 
 #[test]
-fn a_request_that_crashed_three_servers_reaches_three_more_at_most() {
-    let (broken, worlds) = search(ALL);
+fn a_request_that_crashed_three_servers_reaches_at_most_three_more() {
+    let (violation, states) = search(ALL);
 
-    println!("{worlds} worlds");
-    assert_eq!(broken, None);
+    println!("{states} states");
+    assert_eq!(violation, None);
 }
 
 #[test]
-fn without_a_word_to_the_others_it_reaches_more() {
+fn without_publishing_evidence_it_reaches_more() {
     let guards = Guards {
-        tells_others: false,
+        publishes_evidence: false,
         ..ALL
     };
 
@@ -310,18 +320,18 @@
 }
 
 #[test]
-fn without_one_run_at_a_time_it_reaches_more() {
+fn without_single_runs_it_reaches_more() {
     let guards = Guards {
-        runs_one_at_a_time: false,
+        allows_single_runs_only: false,
         ..ALL
     };
 
     assert!(search(guards).0.is_some());
 }
 
-/// One that never reads what was told before it started.
+/// A restarted gateway never reads the evidence published before it started.
 #[test]
-fn without_reading_at_the_start_it_reaches_more() {
+fn without_reading_at_start_it_reaches_more() {
     let guards = Guards {
         reads_at_start: false,
         ..ALL
--- a/crates/core/tests/spec_withheld.rs
+++ b/crates/core/tests/spec_withheld.rs
@@ -1,11 +1,12 @@
-//! Every order of events in a small world: two entries, a zone that is evacuated and taken back, its
-//! one server, which becomes cold unseen, and another server elsewhere.
+//! Exhaustive search over the event orders of a small model: two entries, a zone that is evacuated
+//! and taken back, its one server, which becomes cold unnoticed, and another server elsewhere.
 //!
-//! Entries hear of changes at any time, a list may be read whole after a start or a forgotten
-//! history, choices wait before they are sent. What must hold in every order: an entry that has heard
-//! of an evacuation sends nothing there until it has heard of the return; the cold server never gets
-//! more than its bound from those that have heard of either; and once all have heard of the return, it is used.
-//! Each guard is switched off in turn, and the search must then find an order that breaks a promise.
+//! Entries learn of changes at any time, may read the whole list after a start or a lost history,
+//! and send some time after choosing a server. In every order, an entry that knows of an evacuation
+//! must send nothing there until it knows that the zone was taken back; the cold server must never
+//! get more than its rate limit from entries that know of either; and once all know that the zone
+//! was taken back, it must be used. Each guard is disabled in turn, and the search must then find
+//! an order that violates one of these rules.
 
 #![expect(clippy::unwrap_used, reason = "fixtures of tests may panic")]
 
@@ -20,31 +21,31 @@
 };
 
 const ENTRIES: usize = 2;
-/// Steps of one order of events.
+/// Events in one order.
 const DEPTH: usize = 9;
 const STEP: Duration = Duration::from_millis(250);
-const TERMS: ColdLimits = ColdLimits {
+const LIMITS: ColdLimits = ColdLimits {
     cold_duration: Duration::from_millis(750),
     max_per_s: 4.0,
 };
 
-/// Guards that hold; each test switches one off.
+/// Enabled guards; each test disables one.
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each guard is switched off by itself"
+    reason = "each guard is disabled independently"
 )]
 #[derive(Clone, Copy)]
 struct Guards {
-    asks_before_sending: bool,
-    takes_back_what_a_whole_table_leaves_out: bool,
-    takes_returned_zones_for_cold: bool,
+    checks_before_sending: bool,
+    applies_whole_tables: bool,
+    treats_returned_zones_as_cold: bool,
     counts_sends: bool,
 }
 
 const ALL: Guards = Guards {
-    asks_before_sending: true,
-    takes_back_what_a_whole_table_leaves_out: true,
-    takes_returned_zones_for_cold: true,
+    checks_before_sending: true,
+    applies_whole_tables: true,
+    treats_returned_zones_as_cold: true,
     counts_sends: true,
 };
 
@@ -52,46 +53,46 @@
 enum Event {
     Evacuate,
     TakeBack,
-    /// An entry hears what changed.
-    Hear(usize),
+    /// An entry reads the changes.
+    ReadChanges(usize),
     /// An entry reads the whole table.
     ReadWhole(usize),
     Choose(usize),
     Send(usize),
-    Pass,
+    Wait,
 }
 
 #[derive(Clone)]
 struct Entry {
     list: ServerList,
     sends: RecentSends,
-    /// Requests that were given the server and have not left.
+    /// Requests for which the server was chosen and which have not been sent.
     chosen: u8,
-    /// Whether the last word that it heard is of an evacuation.
-    has_heard: bool,
-    /// Whether neither the evacuation nor the return has reached it.
-    is_blind: bool,
+    /// Whether it last learned that the zone is evacuated.
+    knows_evacuation: bool,
+    /// Whether it learned of neither the evacuation nor its end.
+    is_unaware: bool,
 }
 
 #[derive(Clone)]
-struct World {
+struct Model {
     guards: Guards,
     now: Duration,
     is_evacuated: bool,
     version: u64,
-    /// Until when the server is cold, seen or not.
+    /// Time until which the server is cold, whether noticed or not.
     cold_until: Duration,
     sent_at: Vec<Duration>,
     entries: Vec<Entry>,
 }
 
-fn life() -> ServerIncarnation {
+fn server() -> ServerIncarnation {
     "a".parse().unwrap()
 }
 
 fn record() -> ServerRecord {
     ServerRecord {
-        incarnation: life(),
+        incarnation: server(),
         service: "scale".parse().unwrap(),
         address: "127.0.0.1:9000".parse().unwrap(),
         zone: "north".parse().unwrap(),
@@ -105,10 +106,10 @@
     let all: Vec<SocketAddr> = (0..ENTRIES)
         .map(|index| format!("10.0.0.{}:7740", index + 1).parse().unwrap())
         .collect();
-    SendShare::of_entry(&life(), TERMS.max_per_s, 1, all[own], &all)
+    SendShare::of_entry(&server(), LIMITS.max_per_s, 1, all[own], &all)
 }
 
-impl World {
+impl Model {
     fn new(guards: Guards) -> Self {
         let mut list = ServerList::default();
         list.replace_all(vec![ServerChange::Listed(record())], Duration::ZERO);
@@ -116,8 +117,8 @@
             list,
             sends: RecentSends::default(),
             chosen: 0,
-            has_heard: false,
-            is_blind: false,
+            knows_evacuation: false,
+            is_unaware: false,
         };
         Self {
             guards,
@@ -130,26 +131,26 @@
         }
     }
 
-    fn use_of(&self, entry: &Entry) -> ServerAvailability {
-        let terms = self.guards.takes_returned_zones_for_cold.then_some(TERMS);
-        entry.list.availability(&life(), terms, self.now)
+    fn availability(&self, entry: &Entry) -> ServerAvailability {
+        let limits = self.guards.treats_returned_zones_as_cold.then_some(LIMITS);
+        entry.list.availability(&server(), limits, self.now)
     }
 
-    fn may_happen(&self, event: Event) -> bool {
+    fn is_possible(&self, event: Event) -> bool {
         match event {
             Event::Evacuate => !self.is_evacuated,
             Event::TakeBack => self.is_evacuated,
             Event::Choose(one) => {
                 let entry = &self.entries[one];
-                entry.chosen == 0 && self.use_of(entry).is_usable()
+                entry.chosen == 0 && self.availability(entry).is_usable()
             }
             Event::Send(one) => self.entries[one].chosen > 0,
-            Event::Hear(_) | Event::ReadWhole(_) | Event::Pass => true,
+            Event::ReadChanges(_) | Event::ReadWhole(_) | Event::Wait => true,
         }
     }
 
-    /// Lets an event happen; what breaks a promise is an error.
-    fn happen(&mut self, event: Event) -> Result<(), String> {
+    /// Applies an event; a violated rule is an error.
+    fn apply(&mut self, event: Event) -> Result<(), String> {
         match event {
             Event::Evacuate => {
                 self.is_evacuated = true;
@@ -158,67 +159,67 @@
             Event::TakeBack => {
                 self.is_evacuated = false;
                 self.version += 1;
-                self.cold_until = self.now + 2 * TERMS.cold_duration;
+                self.cold_until = self.now + 2 * LIMITS.cold_duration;
                 for entry in &mut self.entries {
-                    entry.is_blind = !entry.has_heard;
+                    entry.is_unaware = !entry.knows_evacuation;
                 }
             }
-            Event::Hear(one) => self.tell(one, false),
-            Event::ReadWhole(one) => self.tell(one, true),
+            Event::ReadChanges(one) => self.read_table(one, false),
+            Event::ReadWhole(one) => self.read_table(one, true),
             Event::Choose(one) => self.entries[one].chosen = 3,
             Event::Send(one) => return self.send(one),
-            Event::Pass => self.now += STEP,
+            Event::Wait => self.now += STEP,
         }
         Ok(())
     }
 
-    fn tell(&mut self, one: usize, is_whole: bool) {
+    fn read_table(&mut self, one: usize, is_whole: bool) {
         let state = if self.is_evacuated {
             ZoneState::Evacuated(RowVersion::new(self.version))
         } else {
             ZoneState::InUse
         };
-        // A whole table names only what is evacuated.
+        // A whole table contains evacuated zones only.
         let is_named = self.is_evacuated || !is_whole;
         let change = ZoneChange {
             zone: "north".parse().unwrap(),
             state: Ok(state),
         };
-        let is_whole = is_whole && self.guards.takes_back_what_a_whole_table_leaves_out;
+        let is_whole = is_whole && self.guards.applies_whole_tables;
         let changes = is_named.then_some(change).into_iter().collect();
         let entry = &mut self.entries[one];
         entry.list.apply_zones(changes, is_whole, self.now);
-        entry.has_heard = self.is_evacuated;
-        entry.is_blind &= is_whole;
+        entry.knows_evacuation = self.is_evacuated;
+        entry.is_unaware &= is_whole;
     }
 
     fn send(&mut self, one: usize) -> Result<(), String> {
         self.entries[one].chosen -= 1;
-        let server_use = self.use_of(&self.entries[one]);
-        if self.guards.asks_before_sending && !server_use.is_usable() {
+        let availability = self.availability(&self.entries[one]);
+        if self.guards.checks_before_sending && !availability.is_usable() {
             return Ok(());
         }
         let entry = &mut self.entries[one];
-        if matches!(server_use, ServerAvailability::Cold { .. })
+        if matches!(availability, ServerAvailability::Cold { .. })
             && self.guards.counts_sends
-            && !entry.sends.try_send(&life(), share(one), self.now)
+            && !entry.sends.try_send(&server(), share(one), self.now)
         {
             return Ok(());
         }
-        if entry.has_heard {
+        if entry.knows_evacuation {
             return Err(format!(
                 "entry {one} sent to a zone that it knows is evacuated"
             ));
         }
-        // Who has heard neither of the evacuation nor of the return cannot know; its list of servers
-        // tells it a heartbeat later.
-        if self.cold_until > self.now && !entry.is_blind {
+        // An entry that learned of neither the evacuation nor its end cannot know that the server
+        // is cold; its list of servers shows it a heartbeat later.
+        if self.cold_until > self.now && !entry.is_unaware {
             self.sent_at.push(self.now);
         }
         let second = Duration::from_secs(1);
         let recent = self.sent_at.iter().filter(|at| **at + second > self.now);
         let recent = u32::try_from(recent.count()).unwrap();
-        if f64::from(recent) > TERMS.max_per_s {
+        if f64::from(recent) > LIMITS.max_per_s {
             return Err(format!(
                 "{recent} requests within a second at a cold server"
             ));
@@ -226,29 +227,30 @@
         Ok(())
     }
 
-    /// Once all have read the whole table and time has passed, a zone in use is used.
+    /// After all entries have read the whole table and time has passed, a zone in use must be
+    /// usable.
     fn check_end(&self) -> Result<(), String> {
-        let mut calm = self.clone();
+        let mut settled = self.clone();
         for one in 0..ENTRIES {
-            calm.tell(one, true);
+            settled.read_table(one, true);
         }
-        calm.now += Duration::from_secs(5);
-        let is_used = |entry: &Entry| calm.use_of(entry) == ServerAvailability::Free;
-        if !calm.is_evacuated && !calm.entries.iter().all(is_used) {
+        settled.now += Duration::from_secs(5);
+        let is_usable = |entry: &Entry| settled.availability(entry) == ServerAvailability::Free;
+        if !settled.is_evacuated && !settled.entries.iter().all(is_usable) {
             return Err("a zone that was taken back is not used".to_owned());
         }
         Ok(())
     }
 
-    /// What later events depend on.
+    /// The state that later events depend on.
     fn key(&self) -> String {
         let lists = self.entries.iter().map(|entry| {
-            let share_left = entry.sends.can_send(&life(), share(0), self.now);
+            let share_left = entry.sends.can_send(&server(), share(0), self.now);
             let state = (
-                self.use_of(entry),
+                self.availability(entry),
                 entry.chosen,
-                entry.has_heard,
-                entry.is_blind,
+                entry.knows_evacuation,
+                entry.is_unaware,
                 share_left,
             );
             format!("{state:?}")
@@ -264,100 +266,100 @@
     }
 }
 
-/// Searches all orders of events; the first that breaks a promise, and how many worlds were seen.
+/// Searches all orders of events; returns the first violation, and the number of states visited.
 fn search(guards: Guards, first: &[Event]) -> (Option<String>, usize) {
-    let mut start = World::new(guards);
+    let mut start = Model::new(guards);
     for event in first {
-        start.happen(*event).unwrap();
+        start.apply(*event).unwrap();
     }
-    let mut events = vec![Event::Evacuate, Event::TakeBack, Event::Pass];
+    let mut events = vec![Event::Evacuate, Event::TakeBack, Event::Wait];
     for one in 0..ENTRIES {
         events.extend([
-            Event::Hear(one),
+            Event::ReadChanges(one),
             Event::ReadWhole(one),
             Event::Choose(one),
             Event::Send(one),
         ]);
     }
-    let mut seen = BTreeSet::new();
+    let mut visited = BTreeSet::new();
     let mut open = vec![(start, Vec::new())];
-    while let Some((world, path)) = open.pop() {
-        if let Err(broken) = world.check_end() {
-            return (Some(format!("{broken}: {path:?}")), seen.len());
+    while let Some((model, path)) = open.pop() {
+        if let Err(violation) = model.check_end() {
+            return (Some(format!("{violation}: {path:?}")), visited.len());
         }
-        if path.len() == DEPTH || !seen.insert((path.len(), world.key())) {
+        if path.len() == DEPTH || !visited.insert((path.len(), model.key())) {
             continue;
         }
-        for event in events.iter().filter(|event| world.may_happen(**event)) {
-            let (mut next, mut path) = (world.clone(), path.clone());
+        for event in events.iter().filter(|event| model.is_possible(**event)) {
+            let (mut next, mut path) = (model.clone(), path.clone());
             path.push(*event);
-            if let Err(broken) = next.happen(*event) {
-                return (Some(format!("{broken}: {path:?}")), seen.len());
+            if let Err(violation) = next.apply(*event) {
+                return (Some(format!("{violation}: {path:?}")), visited.len());
             }
             open.push((next, path));
         }
     }
-    (None, seen.len())
+    (None, visited.len())
 }
 
-/// A zone that was just taken back, heard of by both: what matters is what they send next.
+/// A zone that was just taken back, as both entries know; the search continues with their sends.
 fn just_returned() -> Vec<Event> {
     vec![
         Event::Evacuate,
-        Event::Hear(0),
-        Event::Hear(1),
+        Event::ReadChanges(0),
+        Event::ReadChanges(1),
         Event::TakeBack,
-        Event::Hear(0),
-        Event::Hear(1),
+        Event::ReadChanges(0),
+        Event::ReadChanges(1),
     ]
 }
 
 #[test]
-fn no_order_of_events_breaks_a_promise() {
-    let (broken, seen) = search(ALL, &[]);
-    assert_eq!(broken, None);
-    assert!(seen > 1_000, "only {seen} worlds");
+fn no_order_of_events_violates_a_rule() {
+    let (violation, visited) = search(ALL, &[]);
+    assert_eq!(violation, None);
+    assert!(visited > 1_000, "only {visited} states");
 
-    let (broken, _) = search(ALL, &just_returned());
-    assert_eq!(broken, None);
+    let (violation, _) = search(ALL, &just_returned());
+    assert_eq!(violation, None);
 }
 
 #[test]
-fn without_asking_before_the_send_an_evacuated_zone_gets_a_request() {
+fn without_a_check_before_sending_an_evacuated_zone_gets_a_request() {
     let guards = Guards {
-        asks_before_sending: false,
+        checks_before_sending: false,
         ..ALL
     };
-    let broken = search(guards, &[]).0.unwrap();
-    assert!(broken.contains("evacuated"), "{broken}");
+    let violation = search(guards, &[]).0.unwrap();
+    assert!(violation.contains("evacuated"), "{violation}");
 }
 
 #[test]
-fn without_reading_what_a_whole_table_leaves_out_a_zone_stays_away() {
+fn without_applying_whole_tables_a_zone_stays_unused() {
     let guards = Guards {
-        takes_back_what_a_whole_table_leaves_out: false,
+        applies_whole_tables: false,
         ..ALL
     };
-    let broken = search(guards, &[]).0.unwrap();
-    assert!(broken.contains("not used"), "{broken}");
+    let violation = search(guards, &[]).0.unwrap();
+    assert!(violation.contains("not used"), "{violation}");
 }
 
 #[test]
-fn without_taking_it_for_cold_a_returned_server_gets_too_much() {
+fn without_treating_it_as_cold_a_returned_server_exceeds_its_limit() {
     let guards = Guards {
-        takes_returned_zones_for_cold: false,
+        treats_returned_zones_as_cold: false,
         ..ALL
     };
-    let broken = search(guards, &just_returned()).0.unwrap();
-    assert!(broken.contains("cold server"), "{broken}");
+    let violation = search(guards, &just_returned()).0.unwrap();
+    assert!(violation.contains("cold server"), "{violation}");
 }
 
 #[test]
-fn without_counting_sends_a_cold_server_gets_too_much() {
+fn without_counting_sends_a_cold_server_exceeds_its_limit() {
     let guards = Guards {
         counts_sends: false,
         ..ALL
     };
-    let broken = search(guards, &just_returned()).0.unwrap();
-    assert!(broken.contains("cold server"), "{broken}");
+    let violation = search(guards, &just_returned()).0.unwrap();
+    assert!(violation.contains("cold server"), "{violation}");
 }
