--- a/crates/core/tests/placement_plan.rs
+++ b/crates/core/tests/placement_plan.rs
@@ -1,4 +1,4 @@
-//! Which engine is to run which model: spread, stable and paced.
+//! Planning of placements: spread over zones, stable, and with limited loads.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,14 +12,14 @@
 use amaranthscale_core::wire::{HostList, HostRecord, HostState};
 use quickcheck::{Arbitrary as _, Gen};
 
-const PATIENCE: Duration = Duration::from_mins(10);
-const UNPACED: PlanLimits = PlanLimits {
+const LOAD_TIMEOUT: Duration = Duration::from_mins(10);
+const UNLIMITED_LOADS: PlanLimits = PlanLimits {
     loads_per_store: u32::MAX,
 };
 const SCHEDULES: u64 = 500;
 const STEPS: u64 = 60;
 
-struct World {
+struct Cluster {
     services: BTreeMap<ServiceId, Service>,
     hosts: HostList,
     current: BTreeMap<HostId, Assignment>,
@@ -27,19 +27,19 @@
     now: SidecarClock,
 }
 
-impl World {
-    /// Engines of one service, spread in turn over three zones.
+impl Cluster {
+    /// Engines of one service, distributed over three zones.
     fn new(engines: u32, wanted: &[(&str, u32)]) -> Self {
-        let mut world = Self {
+        let mut cluster = Self {
             services: BTreeMap::new(),
             hosts: HostList::default(),
             current: BTreeMap::new(),
-            loads: LoadTracker::new(PATIENCE),
+            loads: LoadTracker::new(LOAD_TIMEOUT),
             now: SidecarClock::default(),
         };
-        world.hosts.hosts = (0..engines).map(engine).collect();
-        world.want(wanted);
-        world
+        cluster.hosts.hosts = (0..engines).map(engine).collect();
+        cluster.want(wanted);
+        cluster
     }
 
     fn want(&mut self, wanted: &[(&str, u32)]) {
@@ -50,7 +50,7 @@
         self.services = BTreeMap::from([(pool(), service)]);
     }
 
-    /// Plans, and puts the plan in force.
+    /// Makes a plan and puts it in force.
     fn plan(&mut self, limits: PlanLimits) -> PlannedPlacement {
         let planned = plan_placement(&PlanInput {
             services: &self.services,
@@ -77,11 +77,11 @@
         found.expect("the host is listed").state = state;
     }
 
-    fn holders(&self, name: &str) -> BTreeSet<HostId> {
+    fn hosts_of(&self, name: &str) -> BTreeSet<HostId> {
         let model = model(name);
-        let holds = |(_, a): &(&HostId, &Assignment)| a.models.contains(&model);
-        let holders = self.current.iter().filter(holds);
-        holders.map(|(host, _)| host.clone()).collect()
+        let has_model = |(_, a): &(&HostId, &Assignment)| a.models.contains(&model);
+        let hosting = self.current.iter().filter(has_model);
+        hosting.map(|(host, _)| host.clone()).collect()
     }
 
     fn in_flight(&self) -> usize {
@@ -116,118 +116,118 @@
 
 #[test]
 fn replicas_are_spread_over_zones_and_engines() {
-    let mut world = World::new(6, &[("a", 3), ("b", 3)]);
+    let mut cluster = Cluster::new(6, &[("a", 3), ("b", 3)]);
 
-    let planned = world.plan(UNPACED);
+    let planned = cluster.plan(UNLIMITED_LOADS);
 
     assert_eq!(
-        world.holders("a"),
+        cluster.hosts_of("a"),
         BTreeSet::from([host(0), host(1), host(2)])
     );
     assert_eq!(
-        world.holders("b"),
+        cluster.hosts_of("b"),
         BTreeSet::from([host(3), host(4), host(5)])
     );
     assert!(planned.shortfalls.is_empty());
 }
 
 #[test]
-fn a_plan_that_holds_is_not_changed() {
-    let mut world = World::new(7, &[("a", 4), ("b", 2)]);
-    let first = world.plan(UNPACED);
-    world.hosts.hosts.push(engine(7));
+fn a_satisfied_plan_is_not_changed() {
+    let mut cluster = Cluster::new(7, &[("a", 4), ("b", 2)]);
+    let first = cluster.plan(UNLIMITED_LOADS);
+    cluster.hosts.hosts.push(engine(7));
 
-    let second = world.plan(UNPACED);
+    let second = cluster.plan(UNLIMITED_LOADS);
 
     let of_old_hosts = second.assignments.iter().filter(|(id, _)| **id != host(7));
     assert!(of_old_hosts.eq(first.assignments.iter()));
 }
 
 #[test]
-fn a_leaving_host_is_replaced_and_no_longer_named() {
-    // A model has one replica too few for good. The host of one leaves, and no planner notices.
-    // Naming the leaving host with an empty list would be as bad: its engine would unload the
-    // model under requests that are still running.
-    let mut world = World::new(4, &[("a", 3)]);
-    world.plan(UNPACED);
+fn a_leaving_host_is_replaced_and_left_out_of_the_plan() {
+    // If the planner ignored that a replica's host is leaving, the model would have one replica too
+    // few. If it assigned no models to the leaving host, its engine would unload the model while
+    // requests are still running.
+    let mut cluster = Cluster::new(4, &[("a", 3)]);
+    cluster.plan(UNLIMITED_LOADS);
 
-    world.set_state(1, HostState::Leaving);
-    world.plan(UNPACED);
+    cluster.set_state(1, HostState::Leaving);
+    cluster.plan(UNLIMITED_LOADS);
 
     assert_eq!(
-        world.holders("a"),
+        cluster.hosts_of("a"),
         BTreeSet::from([host(0), host(2), host(3)])
     );
-    assert!(!world.current.contains_key(&host(1)));
+    assert!(!cluster.current.contains_key(&host(1)));
 }
 
 #[test]
-fn loads_are_paced() {
-    // Every engine loads at once after an edit, the weight store limits them all, and for minutes
-    // none of them serves.
-    let mut world = World::new(6, &[("a", 5)]);
+fn concurrent_loads_are_limited() {
+    // If all engines loaded at once after an edit, the weight store would limit them all, and none
+    // would serve for minutes.
+    let mut cluster = Cluster::new(6, &[("a", 5)]);
     let limits = PlanLimits { loads_per_store: 2 };
 
-    let first = world.plan(limits);
-    let second = world.plan(limits);
+    let first = cluster.plan(limits);
+    let second = cluster.plan(limits);
     assert_eq!((first.waiting_loads, second.waiting_loads), (3, 3));
-    assert_eq!(world.holders("a").len(), 2);
+    assert_eq!(cluster.hosts_of("a").len(), 2);
 
-    world.load_all();
-    world.plan(limits);
-    assert_eq!(world.holders("a").len(), 4);
+    cluster.load_all();
+    cluster.plan(limits);
+    assert_eq!(cluster.hosts_of("a").len(), 4);
 }
 
 #[test]
-fn an_overdue_load_holds_back_no_other() {
-    // No model is loaded any more in a whole region. Two engines cannot load theirs, and their
-    // replicas count as loading for ever.
-    let mut world = World::new(6, &[("a", 4)]);
+fn an_overdue_load_does_not_block_others() {
+    // Two engines cannot load their models. If their replicas counted as loading forever, no other
+    // model could be loaded in the region.
+    let mut cluster = Cluster::new(6, &[("a", 4)]);
     let limits = PlanLimits { loads_per_store: 2 };
-    world.plan(limits);
+    cluster.plan(limits);
 
-    world.now = world.now.plus(PATIENCE);
-    world.plan(limits);
+    cluster.now = cluster.now.plus(LOAD_TIMEOUT);
+    cluster.plan(limits);
 
-    assert_eq!(world.holders("a").len(), 4);
-    assert_eq!(world.loads.overdue(world.now).count(), 2);
+    assert_eq!(cluster.hosts_of("a").len(), 4);
+    assert_eq!(cluster.loads.overdue(cluster.now).count(), 2);
 }
 
 #[test]
-fn surplus_goes_where_a_zone_has_most() {
-    let mut world = World::new(4, &[("a", 4)]);
-    world.plan(UNPACED);
-    world.load_all();
+fn surplus_replicas_are_removed_from_the_zone_with_the_most() {
+    let mut cluster = Cluster::new(4, &[("a", 4)]);
+    cluster.plan(UNLIMITED_LOADS);
+    cluster.load_all();
 
-    world.want(&[("a", 3)]);
-    world.plan(UNPACED);
+    cluster.want(&[("a", 3)]);
+    cluster.plan(UNLIMITED_LOADS);
 
     assert_eq!(
-        world.holders("a"),
+        cluster.hosts_of("a"),
         BTreeSet::from([host(0), host(1), host(2)])
     );
     assert!(
-        world.current[&host(3)].models.is_empty(),
-        "named, so that it unloads"
+        cluster.current[&host(3)].models.is_empty(),
+        "assigned no models, so that it unloads"
     );
 }
 
 #[test]
-fn more_replicas_than_engines_are_told() {
-    let mut world = World::new(2, &[("a", 5)]);
+fn missing_engines_are_reported_as_shortfalls() {
+    let mut cluster = Cluster::new(2, &[("a", 5)]);
 
-    let planned = world.plan(UNPACED);
+    let planned = cluster.plan(UNLIMITED_LOADS);
 
-    assert_eq!(world.holders("a").len(), 2);
+    assert_eq!(cluster.hosts_of("a").len(), 2);
     assert_eq!(planned.shortfalls[0].missing_replicas, 3);
     assert_eq!(planned.waiting_loads, 0);
 }
 
 #[test]
-fn engines_of_a_service_without_models_are_left_alone() {
-    let mut world = World::new(2, &[]);
+fn engines_of_a_service_without_models_are_not_planned() {
+    let mut cluster = Cluster::new(2, &[]);
 
-    let planned = world.plan(UNPACED);
+    let planned = cluster.plan(UNLIMITED_LOADS);
 
     assert!(planned.assignments.is_empty());
 }
@@ -247,72 +247,83 @@
 }
 
 #[test]
-fn models_are_part_of_a_service_put_and_may_be_left_out() {
+fn models_are_an_optional_part_of_a_service() {
     let text = r#"{"kind":"put_service","id":"pool","service":{"is_repeatable":true,"default_deadline_ms":5000,"models":{"a":2}}}"#;
     let edit = TreeEdit::from_json(text).expect("the edit is well formed");
     assert_eq!(edit.to_json(), text);
-    let tree = SettingsTree::empty().apply(&edit).expect("the edit holds");
+    let tree = SettingsTree::empty()
+        .apply(&edit)
+        .expect("the edit is valid");
     assert_eq!(tree.services[&pool()].models[&model("a")], 2);
 
     let without = text.replace(r#","models":{"a":2}"#, "");
     let edit = TreeEdit::from_json(without).expect("the edit is well formed");
-    let tree = tree.apply(&edit).expect("the edit holds");
+    let tree = tree.apply(&edit).expect("the edit is valid");
     assert!(tree.services[&pool()].models.is_empty());
 }
 
-/// Hosts come and go, loads end in any order, and wishes change; the plans keep their promises.
+/// Hosts join and leave, loads end in any order, and the wanted replicas change; checks each plan.
 fn run(seed: u64) {
     let mut random = Gen::from_size_and_seed(10, seed);
     let mut pick = |below: u64| u64::arbitrary(&mut random) % below;
     let limits = PlanLimits { loads_per_store: 3 };
-    let mut world = World::new(9, &[("a", 4), ("b", 3)]);
+    let mut cluster = Cluster::new(9, &[("a", 4), ("b", 3)]);
     for _ in 0..STEPS {
         let number = u32::try_from(pick(9)).expect("hosts are few");
         match pick(4) {
-            0 => world.set_state(number, HostState::Leaving),
-            1 => world.set_state(number, HostState::Live),
+            0 => cluster.set_state(number, HostState::Leaving),
+            1 => cluster.set_state(number, HostState::Live),
             2 => {
                 let replicas = u32::try_from(pick(6) + 1).expect("replicas are few");
-                world.want(&[("a", replicas), ("b", 3)]);
+                cluster.want(&[("a", replicas), ("b", 3)]);
             }
             _ => {
-                let running = world.current.get(&host(number)).cloned();
-                world
+                let running = cluster.current.get(&host(number)).cloned();
+                cluster
                     .loads
                     .observe_running(&host(number), &running.unwrap_or_default());
             }
         }
-        let before = world.current.clone();
-        let loading = world.in_flight();
-        world.plan(limits);
-        assert!(world.in_flight() <= loading.max(3), "seed {seed}: pace");
-        for (name, wanted) in [("a", world.services[&pool()].models[&model("a")]), ("b", 3)] {
-            let held = world.holders(name).len();
+        let before = cluster.current.clone();
+        let loading = cluster.in_flight();
+        cluster.plan(limits);
+        assert!(
+            cluster.in_flight() <= loading.max(3),
+            "seed {seed}: too many loads"
+        );
+        for (name, wanted) in [
+            ("a", cluster.services[&pool()].models[&model("a")]),
+            ("b", 3),
+        ] {
+            let placed = cluster.hosts_of(name).len();
             assert!(
-                held <= usize::try_from(wanted).expect("few"),
+                placed <= usize::try_from(wanted).expect("few"),
                 "seed {seed}: surplus"
             );
         }
-        let again = world.plan(limits);
-        assert_eq!(again.assignments, world.current, "seed {seed}: stable");
-        let live = world
+        let again = cluster.plan(limits);
+        assert_eq!(
+            again.assignments, cluster.current,
+            "seed {seed}: not stable"
+        );
+        let live = cluster
             .hosts
             .hosts
             .iter()
             .filter(|h| h.state == HostState::Live);
         let live: BTreeSet<_> = live.map(|h| &h.host).collect();
-        assert!(world.current.keys().all(|host| live.contains(host)));
+        assert!(cluster.current.keys().all(|host| live.contains(host)));
         let moved = |host: &HostId, name: &str| {
-            let held = |a: &Assignment| a.models.contains(&model(name));
-            before.get(host).is_some_and(held) && !world.current.get(host).is_some_and(held)
+            let placed = |a: &Assignment| a.models.contains(&model(name));
+            before.get(host).is_some_and(placed) && !cluster.current.get(host).is_some_and(placed)
         };
-        let kept_b = live.iter().all(|host| !moved(host, "b"));
-        assert!(kept_b, "seed {seed}: a replica moved without need");
+        let b_is_unmoved = live.iter().all(|host| !moved(host, "b"));
+        assert!(b_is_unmoved, "seed {seed}: a replica moved without need");
     }
 }
 
 #[test]
-fn plans_stay_stable_spread_and_paced_at_random() {
+fn random_plans_are_stable_and_within_limits() {
     for seed in 0..SCHEDULES {
         run(seed);
     }
--- a/crates/core/tests/placement_planners.rs
+++ b/crates/core/tests/placement_planners.rs
@@ -1,4 +1,4 @@
-//! The planner's lease, the placement it guards, and the orders that follow, in real code.
+//! The planner's lease, the placement that it protects, and the orders to engines.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -84,8 +84,13 @@
     )])
 }
 
-/// Reads the lease row and writes it if that is due.
-fn campaign(planner: &mut PlannerLease, table: &mut Table, now: SidecarClock, id: u64) -> bool {
+/// Reads the lease row and writes it if a write is due; returns whether the write was committed.
+fn renew_or_take_over(
+    planner: &mut PlannerLease,
+    table: &mut Table,
+    now: SidecarClock,
+    id: u64,
+) -> bool {
     planner.observe(&table.row(LEASE_KEY), now);
     let Some(write) = planner.next_write(now, write_id(id)) else {
         return false;
@@ -98,12 +103,12 @@
     is_committed
 }
 
-fn settle(mut write: ConditionalWrite, table: &mut Table) -> WriteStep {
+fn commit_once(mut write: ConditionalWrite, table: &mut Table) -> WriteStep {
     let reply = table.commit(&write.transaction());
     write.next(WriteEvent::Replied(reply))
 }
 
-/// A placement row with its version.
+/// A placement row at a version.
 fn placement(version: u64, model: &str) -> Row {
     let body = serde_json::to_string(&Placement {
         fencing: FencingNumber::new(1),
@@ -122,18 +127,18 @@
 }
 
 #[test]
-fn a_lease_is_renewed_by_its_holder_and_taken_over_after_silence() {
+fn a_lease_is_renewed_by_its_holder_and_taken_over_after_expiry() {
     let mut table = Table::default();
     let (mut first, mut second) = (planner(1), planner(2));
-    assert!(campaign(&mut first, &mut table, millis(0), 1));
+    assert!(renew_or_take_over(&mut first, &mut table, millis(0), 1));
 
-    assert!(!campaign(&mut second, &mut table, millis(10), 2));
-    assert!(campaign(&mut first, &mut table, millis(40), 3));
+    assert!(!renew_or_take_over(&mut second, &mut table, millis(10), 2));
+    assert!(renew_or_take_over(&mut first, &mut table, millis(40), 3));
     assert!(
-        !campaign(&mut second, &mut table, millis(105), 4),
-        "the row has moved since"
+        !renew_or_take_over(&mut second, &mut table, millis(105), 4),
+        "the row has changed since"
     );
-    assert!(campaign(&mut second, &mut table, millis(195), 5));
+    assert!(renew_or_take_over(&mut second, &mut table, millis(195), 5));
 
     let fencing = |planner: &PlannerLease, now| planner.held(millis(now)).map(|l| l.fencing.get());
     assert_eq!(fencing(&second, 200), Some(3));
@@ -142,18 +147,18 @@
 }
 
 #[test]
-fn a_paused_planner_writes_nothing() {
-    // An operator sees a plan that its author had given up. A planner reads both rows and is paused
-    // past its lease, another takes over, and the first wakes and writes what it had planned.
+fn a_paused_planner_cannot_write() {
+    // A planner reads both rows and is paused past the expiry of its lease, another takes over, and
+    // the first resumes and writes its outdated plan.
     let mut table = Table::default();
     let (mut paused, mut successor) = (planner(1), planner(2));
-    campaign(&mut paused, &mut table, millis(0), 1);
+    renew_or_take_over(&mut paused, &mut table, millis(0), 1);
     let lease = paused.held(millis(1)).expect("the lease is new");
     let read = table.row(PLACEMENT_KEY);
 
-    campaign(&mut successor, &mut table, millis(10), 2);
-    campaign(&mut successor, &mut table, millis(110), 3);
-    let step = settle(
+    renew_or_take_over(&mut successor, &mut table, millis(10), 2);
+    renew_or_take_over(&mut successor, &mut table, millis(110), 3);
+    let step = commit_once(
         placement_write(&lease, &read, TREE, plan("old"), write_id(4)),
         &mut table,
     );
@@ -163,20 +168,21 @@
 }
 
 #[test]
-fn the_head_row_moves_with_every_placement_and_with_nothing_else() {
-    // An engine keeps an old model for good. Its sidecar polls the head row, and reads the placement
-    // only once that has moved; a placement written without its head would never be read.
+fn the_head_row_changes_with_every_placement_only() {
+    // Sidecars poll the head row, and read the placement only when the head has changed. A
+    // placement written without its head would never be read, and engines would keep their old
+    // models.
     let mut table = Table::default();
     let mut holder = planner(1);
-    campaign(&mut holder, &mut table, millis(0), 1);
+    renew_or_take_over(&mut holder, &mut table, millis(0), 1);
     let lease = holder.held(millis(1)).expect("the lease is new");
 
     for number in 1..=3 {
         let read = table.row(PLACEMENT_KEY);
         let write = placement_write(&lease, &read, TREE, plan("new"), write_id(10 + number));
-        settle(write, &mut table);
+        commit_once(write, &mut table);
         let late = placement_write(&lease, &read, TREE, plan("late"), write_id(20 + number));
-        settle(late, &mut table);
+        commit_once(late, &mut table);
 
         let head = read_placement_head(&table.row(PLACEMENT_HEAD_KEY));
         assert_eq!(head, Some(PlacementVersion::new(number)));
@@ -185,16 +191,16 @@
 }
 
 #[test]
-fn without_the_check_the_paused_planner_would_write() {
-    // The same story with the lease left out of the transaction, to show that the check decides.
+fn without_the_lease_check_a_paused_planner_could_write() {
+    // The same scenario without the check of the lease, to show that the check is what prevents it.
     let mut table = Table::default();
     let (mut paused, mut successor) = (planner(1), planner(2));
-    campaign(&mut paused, &mut table, millis(0), 1);
+    renew_or_take_over(&mut paused, &mut table, millis(0), 1);
     let lease = paused.held(millis(1)).expect("the lease is new");
     let read = table.row(PLACEMENT_KEY);
 
-    campaign(&mut successor, &mut table, millis(10), 2);
-    campaign(&mut successor, &mut table, millis(110), 3);
+    renew_or_take_over(&mut successor, &mut table, millis(10), 2);
+    renew_or_take_over(&mut successor, &mut table, millis(110), 3);
     let mut bare = placement_write(&lease, &read, TREE, plan("old"), write_id(4)).transaction();
     bare.checks.retain(|check| check.key != LEASE_KEY);
 
@@ -205,9 +211,9 @@
 }
 
 #[test]
-fn an_older_placement_is_not_followed() {
-    // An engine unloads the model it has just loaded. Two answers of the table overtake each other
-    // and the sidecar follows the older one last.
+fn an_older_placement_is_not_applied() {
+    // Two replies of the table arrive out of order. If the sidecar applied the older one last, the
+    // engine would unload the model it has just loaded.
     let mut orders = EngineOrders::new(host(0), RETRY);
     assert_eq!(
         orders.observe(&placement(5, "new")),
@@ -216,14 +222,14 @@
     let order = orders.next(millis(0)).expect("an order is due");
     orders.confirmed(order.number);
 
-    let offer = orders.observe(&placement(4, "old"));
+    let update = orders.observe(&placement(4, "old"));
 
-    assert_eq!(offer, PlacementUpdate::NotNewer);
+    assert_eq!(update, PlacementUpdate::NotNewer);
     assert_eq!(orders.next(millis(1)), None);
 }
 
 #[test]
-fn nothing_is_ordered_before_the_placement_is_read() {
+fn no_order_is_sent_before_the_placement_is_read() {
     let mut orders = EngineOrders::new(host(0), RETRY);
     assert_eq!(orders.next(millis(1)), None);
 
@@ -235,16 +241,18 @@
 }
 
 #[test]
-fn one_order_is_under_way_and_a_silent_one_is_replaced() {
-    // An engine ends with the older of two placements. It is slow with one order, gets the next
-    // meanwhile, and carries them out in the wrong order.
+fn one_order_is_in_flight_and_an_unanswered_one_is_replaced() {
+    // An engine that gets the next order while it is slow with one may carry them out in the wrong
+    // sequence and end with the older placement.
     let mut orders = EngineOrders::new(host(0), RETRY);
     orders.observe(&placement(1, "old"));
     let first = orders.next(millis(0)).expect("an order is due");
     orders.observe(&placement(2, "new"));
 
     assert_eq!(orders.next(millis(19)), None);
-    let second = orders.next(millis(20)).expect("the engine was silent");
+    let second = orders
+        .next(millis(20))
+        .expect("an order is due after the timeout");
 
     assert!(second.replaces_unanswered);
     assert_eq!(second.number, PlacementVersion::new(2));
@@ -259,7 +267,7 @@
 }
 
 #[test]
-fn a_refused_order_waits_before_it_is_repeated() {
+fn a_refused_order_is_repeated_after_a_delay() {
     let mut orders = EngineOrders::new(host(0), RETRY);
     orders.observe(&placement(1, "m"));
     let order = orders.next(millis(0)).expect("an order is due");
@@ -271,9 +279,9 @@
 }
 
 #[test]
-fn an_engine_that_forgot_is_ordered_again() {
-    // Requests for a loaded model fail. The engine restarted by itself and runs nothing, while the
-    // sidecar remembers that its order was carried out.
+fn a_restarted_engine_is_ordered_again() {
+    // An engine restarts on its own and runs nothing, while the sidecar has recorded its order as
+    // carried out. Without a new order, requests for its model would fail.
     let mut orders = EngineOrders::new(host(0), RETRY);
     orders.observe(&placement(1, "m"));
     let order = orders.next(millis(0)).expect("an order is due");
@@ -284,7 +292,7 @@
     assert!(orders.next(millis(1)).is_some());
 }
 
-/// One random run: planners campaign and plan, a sidecar follows through answers out of order.
+/// One random run: planners take the lease and plan, and a sidecar reads placements out of order.
 fn run(seed: u64) -> (u64, u64) {
     let mut random = Gen::from_size_and_seed(10, seed);
     let mut table = Table::default();
@@ -300,16 +308,16 @@
         let planner = &mut planners[pick % 2];
         match u8::arbitrary(&mut random) % 6 {
             0 | 1 => {
-                campaign(planner, &mut table, now, id);
+                renew_or_take_over(planner, &mut table, now, id);
             }
             2 => {
-                // A paused planner plans by the lease it last saw, so none is asked of the clock.
-                let believed = planner.held(SidecarClock::default());
+                // A paused planner uses the lease it last read, so the clock is not checked.
+                let outdated_lease = planner.held(SidecarClock::default());
                 let read = table.row(PLACEMENT_KEY);
                 let assignments = plan(&format!("m-{step}"));
                 let write =
                     |lease| placement_write(&lease, &read, TREE, assignments, write_id(id + 1));
-                late.extend(believed.map(|lease| write(lease).transaction()));
+                late.extend(outdated_lease.map(|lease| write(lease).transaction()));
             }
             3 if !late.is_empty() => {
                 table.commit(&late[pick % late.len()].clone());
@@ -343,7 +351,7 @@
 }
 
 #[test]
-fn fencing_numbers_and_orders_never_go_back() {
+fn fencing_numbers_and_orders_never_decrease() {
     let (mut takeovers, mut orders) = (0, 0);
     for seed in 0..SCHEDULES {
         let (fencing, ordered) = run(seed);
--- a/crates/core/tests/routing_look_up.rs
+++ b/crates/core/tests/routing_look_up.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_key_leads_to_its_organisation() {
+fn a_key_is_mapped_to_its_organisation() {
     let holder = KeyHolder {
         organisation: "north".parse().unwrap(),
         keys: vec!["k-one".to_owned(), "k-two".to_owned()],
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn keys_stand_in_no_debug_text() {
+fn debug_output_contains_no_keys() {
     let holder = KeyHolder {
         organisation: "north".parse().unwrap(),
         keys: vec!["secret-key".to_owned()],
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_split_keeps_to_its_shares_and_each_call_to_one_side() {
+fn a_split_follows_its_shares_and_is_stable_for_each_call() {
     let mut split = route("split", "/split/");
     let services = [("scale", 90), ("other", 10)];
     split.services = services
@@ -99,20 +99,21 @@
     assert_eq!(split.service_for(&calls[0]), split.service_for(&calls[0]));
 }
 
-/// The route that a plain model finds: the longest prefix, and among equals the first.
-fn by_model<'a>(routes: &'a [Route], path: &str) -> Option<&'a Route> {
-    let begins = routes
+/// The route that a simple reference implementation finds: the longest prefix, and among equal ones
+/// the first.
+fn reference_route<'a>(routes: &'a [Route], path: &str) -> Option<&'a Route> {
+    let matches = routes
         .iter()
         .filter(|route| path.starts_with(&route.prefix));
-    begins.fold(None, |longest, route| match longest {
+    matches.fold(None, |longest, route| match longest {
         Some(longest) if longest.prefix.len() >= route.prefix.len() => Some(longest),
         _ => Some(route),
     })
 }
 
-/// Routes of odd shapes: nested, twice the same, empty, without a slash at the end, in any order.
+/// Nested, duplicate and empty prefixes, with and without a final slash, in any order.
 #[test]
-fn any_routes_are_found_as_by_a_plain_model() {
+fn routes_are_found_as_by_the_reference_implementation() {
     fn holds(shapes: Vec<(u8, u8, bool)>, paths: Vec<(u8, u8, u8)>) -> bool {
         let part = |number: u8| ["", "a", "b", "ab", "a%2f", "é"][usize::from(number % 6)];
         let prefix = |(first, second, ends): (u8, u8, bool)| {
@@ -128,8 +129,8 @@
         paths.into_iter().all(|(first, second, third)| {
             let path = format!("/{}/{}/{}", part(first), part(second), part(third));
             let found = routing.route("intake.example", &path);
-            let wanted = by_model(&routes, &path);
-            found.map(|route| &route.id) == wanted.map(|route| &route.id)
+            let expected = reference_route(&routes, &path);
+            found.map(|route| &route.id) == expected.map(|route| &route.id)
         })
     }
     quickcheck::QuickCheck::new()
--- a/crates/core/tests/table_copy.rs
+++ b/crates/core/tests/table_copy.rs
@@ -1,4 +1,4 @@
-//! Copies of the store's tables that are handed on.
+//! Copies of the store's tables that are copied again by others.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,13 +7,13 @@
 use amaranthscale_core::version::{TableChanges, TableCopy};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
-/// Runs of random writes; each is a table, its copy, and a copy of that copy.
+/// Runs of random writes; each has a table, its copy, and a copy of that copy.
 const RUNS: u64 = 300;
 const KEYS: usize = 12;
 
 type Rows = BTreeMap<String, (u32, RowVersion)>;
 
-/// The store's table with the changes of each version.
+/// The store's table and its changes by version.
 #[derive(Default)]
 struct Store {
     rows: Rows,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The newest change of each key after a version, as a feed tells it.
+    /// The newest change of each key after a version, as the store's feed returns it.
     fn since(&self, version: RowVersion) -> Vec<(String, Option<u32>, RowVersion)> {
         let mut newest = BTreeMap::new();
         let numbered = (1..).zip(&self.changes);
@@ -49,14 +49,14 @@
     }
 }
 
-/// A copy and what a reader of it has put together.
+/// A copy, and whether it has been filled.
 #[derive(Default)]
-struct Hand {
+struct Reader {
     copy: TableCopy<u32>,
-    is_begun: bool,
+    is_filled: bool,
 }
 
-impl Hand {
+impl Reader {
     fn rows(&self) -> Rows {
         match self.copy.changes_since(RowVersion::new(0)) {
             TableChanges::Full(rows) => rows
@@ -70,12 +70,12 @@
         }
     }
 
-    fn take(&mut self, news: TableChanges<u32>, version: RowVersion, clock: Duration) {
-        match news {
+    fn apply(&mut self, changes: TableChanges<u32>, version: RowVersion, clock: Duration) {
+        match changes {
             TableChanges::Full(rows) => self.copy.replace(rows, version, clock),
             TableChanges::Incremental(rows) => self.copy.change(rows, version, clock),
         }
-        self.is_begun = true;
+        self.is_filled = true;
     }
 }
 
@@ -83,28 +83,28 @@
     usize::arbitrary(random) % choices
 }
 
-fn read_store(store: &Store, hand: &mut Hand, forgets: bool, clock: Duration) {
-    let news = if !hand.is_begun || forgets {
+fn read_store(store: &Store, reader: &mut Reader, is_history_lost: bool, clock: Duration) {
+    let changes = if !reader.is_filled || is_history_lost {
         let rows = store.rows.iter();
         let rows = rows.map(|(key, (value, version))| (key.clone(), *value, *version));
         TableChanges::Full(rows.collect())
     } else {
-        TableChanges::Incremental(store.since(hand.copy.version()))
+        TableChanges::Incremental(store.since(reader.copy.version()))
     };
-    hand.take(news, store.version(), clock);
+    reader.apply(changes, store.version(), clock);
 }
 
 fn run(seed: u64) {
     let mut random = Gen::from_size_and_seed(64, seed);
     let mut store = Store::default();
-    let (mut first, mut second) = (Hand::default(), Hand::default());
+    let (mut first, mut second) = (Reader::default(), Reader::default());
     for step in 1..120 {
         let clock = Duration::from_millis(step);
         match pick(&mut random, 8) {
             0 => read_store(&store, &mut first, pick(&mut random, 6) == 0, clock),
-            1 if first.is_begun => {
-                let news = first.copy.changes_since(second.copy.version());
-                second.take(news, first.copy.version(), first.copy.clock());
+            1 if first.is_filled => {
+                let changes = first.copy.changes_since(second.copy.version());
+                second.apply(changes, first.copy.version(), first.copy.clock());
                 assert_eq!(second.rows(), first.rows(), "seed {seed}, step {step}");
                 assert_eq!(second.copy.clock(), first.copy.clock());
             }
@@ -119,18 +119,18 @@
     assert_eq!(first.rows(), store.rows, "seed {seed}");
 }
 
-/// A row that was dropped, written again, or missed while the store had forgotten its history must
-/// come out the same through two hands as from the store itself.
+/// Rows that were dropped, written again, or missed while the store had lost its history must be
+/// the same in a copy of a copy as in the store.
 #[test]
-fn a_table_is_the_same_through_two_hands() {
+fn a_copy_of_a_copy_equals_the_table() {
     for seed in 0..RUNS {
         run(seed);
     }
 }
 
-/// Handed on or read again, an older clock must not make what is known look older than it is.
+/// An older clock reading from another source must not make the copy seem older than it is.
 #[test]
-fn the_clock_of_a_copy_never_goes_back() {
+fn the_clock_of_a_copy_never_decreases() {
     fn holds(clocks: Vec<u16>) -> bool {
         let mut copy = TableCopy::<u32>::default();
         let mut newest = Duration::ZERO;
@@ -144,10 +144,10 @@
     QuickCheck::new().quickcheck(holds as fn(Vec<u16>) -> bool);
 }
 
-/// Thousands of servers come and go. What is remembered of those that are gone stays bounded, and
-/// who was away for longer gets the whole table.
+/// Thousands of servers are added and removed. The number of retained removals is limited, and a
+/// reader that is further behind gets the whole table.
 #[test]
-fn who_was_away_for_long_gets_the_whole_table() {
+fn a_reader_far_behind_gets_the_whole_table() {
     let mut copy = TableCopy::default();
     copy.replace(
         [("kept".to_owned(), 1, RowVersion::new(1))],
@@ -163,9 +163,9 @@
         );
     }
 
-    let long_away = copy.changes_since(RowVersion::new(2));
-    let just_here = copy.changes_since(RowVersion::new(5_998));
+    let far_behind = copy.changes_since(RowVersion::new(2));
+    let up_to_date = copy.changes_since(RowVersion::new(5_998));
 
-    assert!(matches!(long_away, TableChanges::Full(rows) if rows.len() == 1));
-    assert!(matches!(just_here, TableChanges::Incremental(rows) if rows.len() == 1));
+    assert!(matches!(far_behind, TableChanges::Full(rows) if rows.len() == 1));
+    assert!(matches!(up_to_date, TableChanges::Incremental(rows) if rows.len() == 1));
 }
--- a/crates/core/tests/tree_edits.rs
+++ b/crates/core/tests/tree_edits.rs
@@ -1,4 +1,4 @@
-//! Inheritance, provenance and the checks of edits.
+//! Inheritance, sources of settings and validation of edits.
 
 #![expect(
     clippy::unwrap_used,
@@ -21,8 +21,8 @@
     edits.iter().fold(SettingsTree::empty(), apply)
 }
 
-/// root, with mill below it and the yards north and south below mill.
-fn yards() -> SettingsTree {
+/// A tree with mill below the root, and north and south below mill.
+fn mill_tree() -> SettingsTree {
     tree_after(&[
         r#"{"kind":"create_organisation","id":"mill","parent":"root","class":"paid"}"#,
         r#"{"kind":"create_organisation","id":"north","parent":"mill"}"#,
@@ -41,13 +41,13 @@
     tree_after(&[service, pipeline, allow])
 }
 
-fn refusal(tree: &SettingsTree, text: &str) -> TreeError {
+fn edit_error(tree: &SettingsTree, text: &str) -> TreeError {
     tree.apply(&edit(text)).unwrap_err()
 }
 
 #[test]
-fn each_value_names_the_organisation_that_sets_it() {
-    let tree = yards();
+fn each_value_has_the_organisation_that_sets_it() {
+    let tree = mill_tree();
 
     let north = tree.effective(&"north".parse().unwrap()).unwrap();
 
@@ -62,19 +62,19 @@
 fn an_unset_value_is_inherited_again() {
     let unset = r#"{"kind":"unset","id":"north","field":"weight"}"#;
 
-    let tree = yards().apply(&edit(unset)).unwrap();
+    let tree = mill_tree().apply(&edit(unset)).unwrap();
 
     let north = tree.effective(&"north".parse().unwrap()).unwrap();
     assert_eq!(north.weight.from.as_str(), "root");
 }
 
 #[test]
-fn a_suspension_counts_for_all_below_until_it_ends() {
+fn a_suspension_applies_to_all_descendants_until_it_ends() {
     let suspend = edit(r#"{"kind":"suspend","id":"mill"}"#);
     let resume = edit(r#"{"kind":"resume","id":"mill"}"#);
     let south = "south".parse().unwrap();
 
-    let suspended = yards().apply(&suspend).unwrap();
+    let suspended = mill_tree().apply(&suspend).unwrap();
     let resumed = suspended.apply(&resume).unwrap();
 
     let shown = suspended.effective(&south).unwrap().is_suspended;
@@ -89,7 +89,7 @@
         id: id.parse().unwrap(),
         key_hash: KeyHash::of(format!("key of {id}")),
     };
-    let with_north = yards().apply(&set_key("north")).unwrap();
+    let with_north = mill_tree().apply(&set_key("north")).unwrap();
     let tree = with_north.apply(&set_key("south")).unwrap();
     let compiled = CompiledTree::new(tree.clone()).unwrap();
 
@@ -106,14 +106,14 @@
 fn a_cycle_is_refused() {
     let cycle = r#"{"kind":"move_organisation","id":"mill","parent":"north"}"#;
 
-    let error = refusal(&yards(), cycle);
+    let error = edit_error(&mill_tree(), cycle);
 
     assert!(matches!(error, TreeError::Cycle(..)), "{error}");
     assert_eq!(error.code(), ResultCode::EditInvalid);
 }
 
 #[test]
-fn edits_that_make_no_sense_are_refused_by_name() {
+fn invalid_edits_are_refused_with_the_reason() {
     let create = |id: &str, parent: &str| {
         format!(r#"{{"kind":"create_organisation","id":"{id}","parent":"{parent}"}}"#)
     };
@@ -137,15 +137,15 @@
         (set("pipelines", "absent"), "absent"),
         (set("class", "gold"), "paid or trial"),
     ];
-    let tree = yards();
+    let tree = mill_tree();
     for (text, part) in refused {
-        let error = refusal(&tree, &text).to_string();
+        let error = edit_error(&tree, &text).to_string();
         assert!(error.contains(part), "{text}: {error}");
     }
 }
 
 #[test]
-fn pipelines_and_services_are_checked_together() {
+fn pipelines_and_services_are_validated_together() {
     let stage = |name: &str, path: &str, rest: &str| {
         format!(r#"{{"name":"{name}","service":"ledger","path":"{path}","is_repeatable":{rest}}}"#)
     };
@@ -170,18 +170,18 @@
     ];
     let tree = with_pipeline();
     for (text, part) in refused {
-        let error = refusal(&tree, &text).to_string();
+        let error = edit_error(&tree, &text).to_string();
         assert!(error.contains(part), "{text}: {error}");
     }
 }
 
-/// A driver's app asks for "/x/../settlements". The service's list has "/settlements" only, so
-/// the call passes for one that may be repeated. Its answer is lost, the entry tries again, and
-/// the grower is paid twice. The cause: two readings of one path.
+/// A service lists "/settlements" as not repeatable, and a call requests "/x/../settlements". If it
+/// counted as repeatable, its answer could be lost, the entry would retry it, and a grower would be
+/// paid twice, because the backend server interprets the path differently.
 #[test]
-fn a_disguised_path_never_counts_as_repeatable() {
+fn an_ambiguous_path_is_never_repeatable() {
     let ledger = Service::repeatable().except("/settlements");
-    let disguised = [
+    let ambiguous = [
         "/x/../settlements",
         "/%73ettlements",
         "//settlements",
@@ -193,15 +193,15 @@
         "\\settlements",
         "settlements",
     ];
-    for path in disguised {
+    for path in ambiguous {
         assert!(!ledger.allows_repeat(path), "{path}");
     }
     assert!(ledger.allows_repeat("/settlements-report"));
 }
 
 #[test]
-fn an_import_goes_on_from_the_version_in_force() {
-    let tree = yards();
+fn an_import_continues_from_the_version_in_force() {
+    let tree = mill_tree();
     let import = TreeEdit::Import {
         tree: Box::new(with_pipeline()),
     };
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn every_sixty_fourth_edit_keeps_the_whole_tree() {
+fn every_sixty_fourth_edit_stores_the_whole_tree() {
     let record = |version: u64| EditRecord {
         version: TreeVersion::new(version),
         edit: edit(r#"{"kind":"resume","id":"root"}"#),
@@ -222,8 +222,8 @@
     };
     let head = RowVersion::new(9);
 
-    let plain = record(63).transaction(head, &yards());
-    let snapshot = record(64).transaction(head, &yards());
+    let plain = record(63).transaction(head, &mill_tree());
+    let snapshot = record(64).transaction(head, &mill_tree());
 
     assert_eq!(plain.writes.len(), 2);
     assert_eq!(plain.writes[0].key, "tree/edit/00000000000000000063");
@@ -248,10 +248,10 @@
     );
     assert!(back.evacuated_zones.is_empty());
     for (tree, text) in [(&evacuated, evacuate), (&back, take_back)] {
-        let refused = refusal(tree, text);
+        let refused = edit_error(tree, text);
         assert_eq!(refused.code(), ResultCode::EditInvalid);
         assert!(refused.to_string().contains("mill-office"), "{refused}");
     }
-    // A tree without evacuated zones reads as before, for processes that do not know of them.
+    // A tree without evacuated zones has no such field, for processes that do not know it.
     assert!(!back.to_json().contains("evacuated"));
 }
--- a/crates/core/tests/tree_log.rs
+++ b/crates/core/tests/tree_log.rs
@@ -1,4 +1,4 @@
-//! A process takes only newer trees, without gaps.
+//! A process applies only newer edits and trees, without gaps.
 
 #![expect(
     clippy::unwrap_used,
@@ -50,22 +50,22 @@
 }
 
 #[test]
-fn whoever_is_behind_catches_up_by_edits() {
+fn a_process_that_is_behind_catches_up_by_edits() {
     let ahead = log_at(5);
     let mut behind = log_at(2);
 
-    let taken = behind
+    let update = behind
         .apply_reply(ahead.changes_since(behind.version()))
         .unwrap();
 
     let (from, to) = (TreeVersion::new(2), TreeVersion::new(5));
-    assert_eq!(taken, TreeUpdate::Updated { from, to });
+    assert_eq!(update, TreeUpdate::Updated { from, to });
     assert_eq!(behind.current().tree(), ahead.current().tree());
     assert_eq!(ahead.changes_since(to), TreeReply::UpToDate(to));
 }
 
 #[test]
-fn whoever_is_far_behind_gets_the_whole_tree() {
+fn a_process_far_behind_gets_the_whole_tree() {
     let ahead = log_at(9).with_max_edits(3);
     let mut behind = log_at(2);
 
@@ -80,11 +80,11 @@
     assert!(matches!(from_ahead, TreeReply::Edits { .. }));
 }
 
-/// An operator lowers a limit, and it holds everywhere. An entry that was paused since before
-/// the edit wakes and offers its old tree and its old edits. If they were taken, the limit would
-/// be back at its old value. The cause: an answer's order says nothing about its version.
+/// An operator lowers a limit, and the edit is in force everywhere. An entry that was paused since
+/// before the edit resumes and sends its old tree and edits. If they were applied, the limit would
+/// have its old value again.
 #[test]
-fn an_older_tree_or_edit_is_never_taken() {
+fn an_older_tree_or_edit_is_never_applied() {
     let mut log = log_at(6);
     let paused = log_at(3).with_max_edits(0);
     let old_tree = paused.changes_since(TreeVersion::default());
@@ -95,17 +95,17 @@
         old_edits,
         TreeReply::UpToDate(TreeVersion::new(3)),
     ];
-    let taken = replies.map(|reply| log.apply_reply(reply).unwrap());
+    let update = replies.map(|reply| log.apply_reply(reply).unwrap());
 
-    assert_eq!(taken, [TreeUpdate::Unchanged; 3]);
+    assert_eq!(update, [TreeUpdate::Unchanged; 3]);
     assert_eq!(log.version(), TreeVersion::new(6));
     assert_eq!(root_weight(&log), 6);
 }
 
-/// A reply that carries edit 4 is lost and edit 5 arrives alone. Taken as it is, the process
-/// would say version 5 and never learn that edit 4 suspended a customer.
+/// The reply with edit 4 is lost, and edit 5 arrives alone. If it were applied, the process would
+/// be at version 5 and never get edit 4, which suspended an organisation.
 #[test]
-fn nothing_is_taken_across_a_gap() {
+fn nothing_is_applied_across_a_gap() {
     let mut log = log_at(3);
 
     let alone = log.apply_reply(edits([weight_edit(5)])).unwrap_err();
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_tree_must_have_the_version_that_is_said() {
+fn a_tree_must_have_the_version_of_its_reply() {
     let mut log = log_at(1);
     let tree = SettingsTree::empty().to_json();
     let version = TreeVersion::new(7);
--- a/crates/core/tests/tree_random.rs
+++ b/crates/core/tests/tree_random.rs
@@ -1,4 +1,4 @@
-//! Random input: decoders never panic, and no history of replies moves a version back.
+//! Random input: decoders never panic, and no sequence of replies decreases a version.
 
 #![expect(
     clippy::unwrap_used,
@@ -10,13 +10,13 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 /// Cases of each property.
-const CASES: u64 = 500;
+const CASES_PER_PROPERTY: u64 = 500;
 
 fn check(property: impl quickcheck::Testable) {
     let random = Gen::from_size_and_seed(24, 0x5eed);
     QuickCheck::new()
         .rng(random)
-        .tests(CASES)
+        .tests(CASES_PER_PROPERTY)
         .quickcheck(property);
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// JSON of an edit with one character replaced, and with its end cut off.
+/// JSON of an edit with one character replaced, and truncated.
 fn damaged(text: &str, at: usize, with: char) -> [String; 2] {
     let mut characters: Vec<char> = text.chars().collect();
     let at = at % characters.len();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_tree_that_an_edit_accepts_holds_and_survives_json() {
+fn an_accepted_edit_gives_a_valid_tree_that_survives_json() {
     fn property(edits: Vec<Edit>) -> bool {
         let mut tree = SettingsTree::empty();
         for Edit(edit) in edits {
@@ -98,16 +98,16 @@
 }
 
 #[test]
-fn no_order_of_replies_moves_a_version_back() {
-    fn property(edits: Vec<Edit>, asks: Vec<(u8, u8, bool)>) -> bool {
+fn no_sequence_of_replies_decreases_a_version() {
+    fn property(edits: Vec<Edit>, requests: Vec<(u8, u8, bool)>) -> bool {
         let logs = history(edits);
         let mut log = logs[0].clone();
-        for (ahead, since, is_whole) in asks {
+        for (ahead, since, is_whole) in requests {
             let before = log.version();
             let ahead = &logs[usize::from(ahead) % logs.len()];
             let since = TreeVersion::new(u64::from(since) % 8);
-            let kept = if is_whole { 0 } else { 256 };
-            let reply = ahead.clone().with_max_edits(kept).changes_since(since);
+            let max_edits = if is_whole { 0 } else { 256 };
+            let reply = ahead.clone().with_max_edits(max_edits).changes_since(since);
             let _ = log.apply_reply(reply);
             assert!(log.version() >= before);
             let step = usize::try_from(log.version().get()).unwrap();
