--- a/crates/core/tests/random_protocol/entries.rs
+++ b/crates/core/tests/random_protocol/entries.rs
@@ -1,4 +1,4 @@
-//! The entries: they read claims, dispatch, ask, cancel and answer.
+//! The entries: they read claims, dispatch, revoke, cancel and answer.
 
 use amaranthscale_core::id::{AttemptId, AttemptNumber, RequestId, RowVersion, StageIndex};
 use amaranthscale_core::request::{
@@ -10,115 +10,115 @@
 use amaranthscale_core::wire::{ClaimTicket, Outcome, RevokeAnswer, Row};
 use amaranthscale_core::{Ran, ResultCode};
 
-use crate::world::{
-    EXPIRY_AHEAD, MAX_TRIES, Omission, Order, Packet, Phase, SIDECARS, World, Writer, claim_key,
-    fingerprint, host, result_of,
+use crate::simulation::{
+    EXPIRY_AHEAD, MAX_TRIES, Omission, Packet, Phase, SIDECARS, SentAttempt, Simulation, Writer,
+    claim_key, fingerprint, host, result_of,
 };
 
-impl World {
-    pub fn wake_asker(&mut self, asker: usize, is_patient: bool) {
-        let phase = std::mem::replace(&mut self.askers[asker].phase, Phase::Done);
-        self.askers[asker].phase = match phase {
-            Phase::Idle if self.askers[asker].is_keyed => {
-                let key = claim_key(self.askers[asker].call).to_string();
+impl Simulation {
+    pub fn step_entry_call(&mut self, entry_call: usize, keeps_waiting: bool) {
+        let phase = std::mem::replace(&mut self.entry_calls[entry_call].phase, Phase::Done);
+        self.entry_calls[entry_call].phase = match phase {
+            Phase::Idle if self.entry_calls[entry_call].is_keyed => {
+                let key = claim_key(self.entry_calls[entry_call].call).to_string();
                 self.network.push(Packet::Read {
-                    writer: Writer::Asker(asker),
+                    writer: Writer::Entry(entry_call),
                     key,
                 });
                 Phase::Reading
             }
-            Phase::Idle => self.dispatch(asker, None),
+            Phase::Idle => self.dispatch(entry_call, None),
             Phase::Reading => Phase::Idle,
-            Phase::Waiting(order) if is_patient || self.pick(2) == 0 => {
-                self.network.push(Packet::Ask {
-                    asker,
-                    order: order.clone(),
+            Phase::Waiting(sent) if keeps_waiting || self.pick(2) == 0 => {
+                self.network.push(Packet::Revoke {
+                    entry_call,
+                    sent: sent.clone(),
                 });
-                Phase::Waiting(order)
+                Phase::Waiting(sent)
             }
-            Phase::Waiting(order) => self.give_up_waiting(asker, order),
-            Phase::Cancelling(order, mut write) => {
+            Phase::Waiting(sent) => self.stop_waiting(entry_call, sent),
+            Phase::Cancelling(sent, mut write) => {
                 let step = write.next(WriteEvent::Lost);
-                self.follow(Writer::Asker(asker), &write, &step);
-                Phase::Cancelling(order, write)
+                self.perform_step(Writer::Entry(entry_call), &write, &step);
+                Phase::Cancelling(sent, write)
             }
-            Phase::Following(order) => {
-                self.network.push(Packet::Ask { asker, order });
+            Phase::Following(sent) => {
+                self.network.push(Packet::Revoke { entry_call, sent });
                 Phase::Idle
             }
-            Phase::GivingUp(mut write) => {
+            Phase::MarkingUnknown(mut write) => {
                 let step = write.next(WriteEvent::Lost);
-                self.follow(Writer::Asker(asker), &write, &step);
-                Phase::GivingUp(write)
+                self.perform_step(Writer::Entry(entry_call), &write, &step);
+                Phase::MarkingUnknown(write)
             }
             Phase::Done => Phase::Done,
         };
     }
 
-    pub fn dispatch(&mut self, asker: usize, ticket: Option<ClaimTicket>) -> Phase {
-        if self.askers[asker].tries == MAX_TRIES {
-            self.tally.not_run += 1;
+    pub fn dispatch(&mut self, entry_call: usize, ticket: Option<ClaimTicket>) -> Phase {
+        if self.entry_calls[entry_call].tries == MAX_TRIES {
+            self.counts.not_run += 1;
             return Phase::Done;
         }
-        self.askers[asker].tries += 1;
+        self.entry_calls[entry_call].tries += 1;
         let sidecar = self.pick(SIDECARS);
         let target = &self.sidecars[sidecar];
-        let order = Order {
+        let sent = SentAttempt {
             attempt: AttemptId {
-                request: RequestId::from_random_bits(asker as u128),
+                request: RequestId::from_random_bits(entry_call as u128),
                 stage: StageIndex::new(0),
-                number: AttemptNumber::new(self.askers[asker].tries),
+                number: AttemptNumber::new(self.entry_calls[entry_call].tries),
             },
-            asker,
+            entry_call,
             sidecar,
             incarnation: target.ledger.incarnation(),
             expiry: target.clock.plus(EXPIRY_AHEAD),
             ticket,
         };
         self.network.push(Packet::Dispatch {
-            order: order.clone(),
+            sent: sent.clone(),
             is_replay: false,
         });
-        Phase::Waiting(order)
+        Phase::Waiting(sent)
     }
 
-    pub fn give_up_waiting(&mut self, asker: usize, order: Order) -> Phase {
-        let Some(ticket) = &order.ticket else {
-            self.tally.unknown += 1;
+    pub fn stop_waiting(&mut self, entry_call: usize, sent: SentAttempt) -> Phase {
+        let Some(ticket) = &sent.ticket else {
+            self.counts.unknown += 1;
             return Phase::Done;
         };
         if self.omission == Omission::Cancel {
-            self.called_not_run.insert(order.attempt);
+            self.reported_not_run.insert(sent.attempt);
             return Phase::Idle;
         }
         let write_id = self.write_id();
-        let by = host("entry", asker);
+        let by = host("entry", entry_call);
         let fingerprint = ticket.fingerprint;
         let write = cancel_write(&ticket.key, ticket.version, fingerprint, by, write_id);
-        self.follow(Writer::Asker(asker), &write, &WriteStep::Send);
-        Phase::Cancelling(order, write)
+        self.perform_step(Writer::Entry(entry_call), &write, &WriteStep::Send);
+        Phase::Cancelling(sent, write)
     }
 
-    pub fn asker_event(&mut self, asker: usize, event: WriteEvent) {
-        let phase = std::mem::replace(&mut self.askers[asker].phase, Phase::Done);
-        self.askers[asker].phase = match (phase, event) {
-            (Phase::Reading, WriteEvent::ReadBack(row)) => self.follow_claim(asker, &row),
-            (Phase::Cancelling(order, mut write), event) => {
+    pub fn entry_event(&mut self, entry_call: usize, event: WriteEvent) {
+        let phase = std::mem::replace(&mut self.entry_calls[entry_call].phase, Phase::Done);
+        self.entry_calls[entry_call].phase = match (phase, event) {
+            (Phase::Reading, WriteEvent::ReadBack(row)) => self.handle_claim(entry_call, &row),
+            (Phase::Cancelling(sent, mut write), event) => {
                 let step = write.next(event);
-                self.follow(Writer::Asker(asker), &write, &step);
+                self.perform_step(Writer::Entry(entry_call), &write, &step);
                 match step {
-                    WriteStep::Send | WriteStep::ReadBack => Phase::Cancelling(order, write),
+                    WriteStep::Send | WriteStep::ReadBack => Phase::Cancelling(sent, write),
                     WriteStep::Won { row }
                     | WriteStep::Superseded { row }
                     | WriteStep::LostTo { row }
-                    | WriteStep::Undecided { row } => self.judge_fate(&order, &row),
+                    | WriteStep::Undecided { row } => self.handle_status(&sent, &row),
                 }
             }
-            (Phase::GivingUp(mut write), event) => {
+            (Phase::MarkingUnknown(mut write), event) => {
                 let step = write.next(event);
-                self.follow(Writer::Asker(asker), &write, &step);
+                self.perform_step(Writer::Entry(entry_call), &write, &step);
                 match step {
-                    WriteStep::Send | WriteStep::ReadBack => Phase::GivingUp(write),
+                    WriteStep::Send | WriteStep::ReadBack => Phase::MarkingUnknown(write),
                     _ => Phase::Idle,
                 }
             }
@@ -126,31 +126,31 @@
         };
     }
 
-    pub fn judge_fate(&mut self, order: &Order, row: &Row) -> Phase {
-        let carried = order
+    pub fn handle_status(&mut self, sent: &SentAttempt, row: &Row) -> Phase {
+        let ticket_version = sent
             .ticket
             .as_ref()
             .map_or(RowVersion::default(), |t| t.version);
-        let fate = attempt_status(row, order.attempt, carried);
+        let status = attempt_status(row, sent.attempt, ticket_version);
         assert_ne!(
-            fate,
+            status,
             AttemptStatus::MayStart,
             "a settled write shows a later row"
         );
-        if fate == AttemptStatus::NeverRan {
-            self.called_not_run.insert(order.attempt);
+        if status == AttemptStatus::NeverRan {
+            self.reported_not_run.insert(sent.attempt);
         }
         Phase::Idle
     }
 
-    pub fn follow_claim(&mut self, asker: usize, row: &Row) -> Phase {
-        let call = self.askers[asker].call;
+    pub fn handle_claim(&mut self, entry_call: usize, row: &Row) -> Phase {
+        let call = self.entry_calls[entry_call].call;
         let fingerprint = fingerprint(call);
         match read_claim(row, &fingerprint) {
             ClaimStatus::Free { version } => {
                 let key = claim_key(call);
                 self.dispatch(
-                    asker,
+                    entry_call,
                     Some(ClaimTicket {
                         key,
                         version,
@@ -166,16 +166,16 @@
             } => {
                 let sidecar = usize::from(name == host("sidecar", 1));
                 let key = claim_key(call);
-                // An expiry long past, since this asks and must leave no tombstone.
+                // An expiry in the past, so that the revocation records no tombstone.
                 let expiry = SidecarClock::default();
                 let ticket = Some(ClaimTicket {
                     key,
                     version,
                     fingerprint,
                 });
-                Phase::Following(Order {
+                Phase::Following(SentAttempt {
                     attempt,
-                    asker,
+                    entry_call,
                     sidecar,
                     incarnation,
                     expiry,
@@ -190,41 +190,41 @@
                 Phase::Done
             }
             ClaimStatus::Unknown => {
-                self.tally.unknown += 1;
+                self.counts.unknown += 1;
                 Phase::Done
             }
             reading @ (ClaimStatus::KeyReused | ClaimStatus::Corrupt) => {
-                self.mixed_up = Some(format!("call {call} reads {reading:?}"));
+                self.wrong_result = Some(format!("call {call} reads {reading:?}"));
                 Phase::Done
             }
         }
     }
 
     pub fn complete(&mut self, call: usize, result: &[u8]) {
-        self.tally.complete += 1;
+        self.counts.complete += 1;
         if result != result_of(call) || !self.ran.contains_key(&call) {
-            self.mixed_up = Some(format!("call {call} was answered with {result:?}"));
+            self.wrong_result = Some(format!("call {call} was answered with {result:?}"));
         }
     }
 
-    pub fn take_answer(&mut self, order: &Order, outcome: &Outcome) {
-        let asker = order.asker;
-        let is_awaited = match &self.askers[asker].phase {
-            Phase::Waiting(awaited) | Phase::Cancelling(awaited, _) => awaited == order,
+    pub fn receive_answer(&mut self, sent: &SentAttempt, outcome: &Outcome) {
+        let entry_call = sent.entry_call;
+        let is_awaited = match &self.entry_calls[entry_call].phase {
+            Phase::Waiting(awaited) | Phase::Cancelling(awaited, _) => awaited == sent,
             _ => false,
         };
         if is_awaited {
-            let call = self.askers[asker].call;
-            self.askers[asker].phase = self.judge_outcome(call, order, outcome);
+            let call = self.entry_calls[entry_call].call;
+            self.entry_calls[entry_call].phase = self.handle_outcome(call, sent, outcome);
         }
     }
 
-    pub fn judge_outcome(&mut self, call: usize, order: &Order, outcome: &Outcome) -> Phase {
+    pub fn handle_outcome(&mut self, call: usize, sent: &SentAttempt, outcome: &Outcome) -> Phase {
         match (outcome.code, outcome.ran()) {
-            // It tells of the delivery, not of the attempt.
-            (ResultCode::DuplicateAttempt, _) => Phase::Waiting(order.clone()),
+            // This code is about the delivery, not about the attempt.
+            (ResultCode::DuplicateAttempt, _) => Phase::Waiting(sent.clone()),
             (_, Ran::No) => {
-                self.called_not_run.insert(order.attempt);
+                self.reported_not_run.insert(sent.attempt);
                 Phase::Idle
             }
             _ => {
@@ -234,44 +234,49 @@
         }
     }
 
-    pub fn take_told(&mut self, asker: usize, order: &Order, answer: RevokeAnswer) {
-        let is_own = match &self.askers[asker].phase {
-            Phase::Waiting(awaited) => awaited == order,
+    pub fn receive_revoke_reply(
+        &mut self,
+        entry_call: usize,
+        sent: &SentAttempt,
+        answer: RevokeAnswer,
+    ) {
+        let is_own = match &self.entry_calls[entry_call].phase {
+            Phase::Waiting(awaited) => awaited == sent,
             Phase::Idle | Phase::Reading => false,
             _ => return,
         };
-        let is_followed = order.expiry == SidecarClock::default();
-        if !is_own && !is_followed {
+        let is_holder = sent.expiry == SidecarClock::default();
+        if !is_own && !is_holder {
             return;
         }
-        let call = self.askers[asker].call;
+        let call = self.entry_calls[entry_call].call;
         let phase = match answer {
             RevokeAnswer::Running => return,
-            RevokeAnswer::Finished(outcome) if is_followed && outcome.ran() == Ran::No => return,
-            RevokeAnswer::Finished(outcome) => self.judge_outcome(call, order, &outcome),
+            RevokeAnswer::Finished(outcome) if is_holder && outcome.ran() == Ran::No => return,
+            RevokeAnswer::Finished(outcome) => self.handle_outcome(call, sent, &outcome),
             RevokeAnswer::Revoked => {
-                self.called_not_run.insert(order.attempt);
+                self.reported_not_run.insert(sent.attempt);
                 Phase::Idle
             }
-            RevokeAnswer::Forgotten | RevokeAnswer::OtherIncarnation if is_followed => {
-                self.mark_unknown(asker, order)
+            RevokeAnswer::Forgotten | RevokeAnswer::OtherIncarnation if is_holder => {
+                self.mark_unknown(entry_call, sent)
             }
             RevokeAnswer::Forgotten | RevokeAnswer::OtherIncarnation => {
-                self.give_up_waiting(asker, order.clone())
+                self.stop_waiting(entry_call, sent.clone())
             }
         };
-        self.askers[asker].phase = phase;
+        self.entry_calls[entry_call].phase = phase;
     }
 
-    pub fn mark_unknown(&mut self, asker: usize, order: &Order) -> Phase {
-        let call = self.askers[asker].call;
+    pub fn mark_unknown(&mut self, entry_call: usize, sent: &SentAttempt) -> Phase {
+        let call = self.entry_calls[entry_call].call;
         let started = self.row(&claim_key(call).to_string());
-        let version = order.ticket.as_ref().map(|ticket| ticket.version);
+        let version = sent.ticket.as_ref().map(|ticket| ticket.version);
         if Some(started.version) != version {
             return Phase::Idle;
         }
         let write = mark_unknown_write(&started, fingerprint(call), self.write_id());
-        self.follow(Writer::Asker(asker), &write, &WriteStep::Send);
-        Phase::GivingUp(write)
+        self.perform_step(Writer::Entry(entry_call), &write, &WriteStep::Send);
+        Phase::MarkingUnknown(write)
     }
 }
--- a/crates/core/tests/random_protocol/main.rs
+++ b/crates/core/tests/random_protocol/main.rs
@@ -1,19 +1,19 @@
-//! Long random runs of the protocol over the real ledgers, conditional writes and claims.
+//! Random runs of the at-most-once protocol with the real ledgers, conditional writes and claims.
 
 mod entries;
 mod sidecars;
+mod simulation;
 mod table;
-mod world;
 
-use world::{Omission, Tally, run};
+use simulation::{Counts, Omission, run};
 
-/// Schedules in a run of CI.
+/// Number of schedules in CI.
 const SCHEDULES: u64 = 10_000;
 const SCHEDULES_VARIABLE: &str = "AMARANTH_RANDOM_SCHEDULES";
-/// Random steps before the faults end; a call takes some twenty.
+/// Random steps before the faults end; a call takes about twenty.
 const STEPS: usize = 150;
-/// Schedules within which an omitted guard must show.
-const SCHEDULES_TO_NOTICE: u64 = 2_000;
+/// Number of schedules within which an omitted guard must be detected.
+const SCHEDULES_TO_DETECT: u64 = 2_000;
 
 fn schedules() -> u64 {
     let wanted = std::env::var(SCHEDULES_VARIABLE).ok();
@@ -22,29 +22,29 @@
     })
 }
 
-fn add(total: &mut Tally, tally: &Tally) {
-    total.runs += tally.runs;
-    total.complete += tally.complete;
-    total.not_run += tally.not_run;
-    total.unknown += tally.unknown;
-    total.restarts += tally.restarts;
+fn add(total: &mut Counts, counts: &Counts) {
+    total.runs += counts.runs;
+    total.complete += counts.complete;
+    total.not_run += counts.not_run;
+    total.unknown += counts.unknown;
+    total.restarts += counts.restarts;
 }
 
-/// The first seed whose run breaks in the expected way.
-fn first_noticed(omission: Omission, expected: &str) -> Option<(u64, String)> {
-    let broken = |seed| run(seed, STEPS, omission).err();
-    let is_expected = |broken: &String| broken.contains(expected);
-    (0..SCHEDULES_TO_NOTICE).find_map(|seed| Some((seed, broken(seed).filter(is_expected)?)))
+/// The first seed whose run fails with the expected violation.
+fn first_detected(omission: Omission, expected: &str) -> Option<(u64, String)> {
+    let violation = |seed| run(seed, STEPS, omission).err();
+    let is_expected = |violation: &String| violation.contains(expected);
+    (0..SCHEDULES_TO_DETECT).find_map(|seed| Some((seed, violation(seed).filter(is_expected)?)))
 }
 
 #[test]
-fn every_schedule_keeps_the_promises() {
-    let mut total = Tally::default();
+fn every_schedule_runs_each_call_at_most_once() {
+    let mut total = Counts::default();
     let schedules = schedules();
     for seed in 0..schedules {
         match run(seed, STEPS, Omission::None) {
-            Ok(tally) => add(&mut total, &tally),
-            Err(broken) => panic!("seed {seed}: {broken}"),
+            Ok(counts) => add(&mut total, &counts),
+            Err(violation) => panic!("seed {seed}: {violation}"),
         }
     }
     println!("{schedules} schedules of {STEPS} steps: {total:?}");
@@ -52,19 +52,19 @@
 }
 
 #[test]
-fn silence_taken_for_not_run_is_noticed() {
-    // A caller is told "not run" and the notice goes out later. The entry hears nothing from the
-    // sidecar, does not cancel, and the delayed dispatch then claims the row.
-    let noticed = first_noticed(Omission::Cancel, "\"not run\" and ran");
-    let (seed, broken) = noticed.expect("the omission shows");
-    println!("without cancelling, seed {seed}: {broken}");
+fn a_timeout_treated_as_not_run_is_detected() {
+    // The entry gets no answer from the sidecar and does not cancel, and the delayed dispatch then
+    // claims the row: a notice reported as "not run" is sent later.
+    let detected = first_detected(Omission::Cancel, "\"not run\" and ran");
+    let (seed, violation) = detected.expect("the omission is detected");
+    println!("without cancelling, seed {seed}: {violation}");
 }
 
 #[test]
-fn silence_taken_for_a_won_claim_is_noticed() {
-    // A grower is paid twice. The table is silent and the sidecar makes the call without knowing
-    // whether its claim was the one that took effect.
-    let noticed = first_noticed(Omission::ReadBack, "ran 2 times");
-    let (seed, broken) = noticed.expect("the omission shows");
-    println!("without reading back, seed {seed}: {broken}");
+fn a_timeout_treated_as_a_won_claim_is_detected() {
+    // The table does not reply, and the sidecar makes the call without knowing whether its claim
+    // took effect: a grower is paid twice.
+    let detected = first_detected(Omission::ReadBack, "ran 2 times");
+    let (seed, violation) = detected.expect("the omission is detected");
+    println!("without reading back, seed {seed}: {violation}");
 }
--- a/crates/core/tests/random_protocol/world.rs
+++ b/crates/core/tests/random_protocol/simulation.rs
@@ -1,7 +1,7 @@
-//! Entries, sidecars and a table, driven one random step at a time.
+//! A simulation of entries, sidecars and a table, run one random step at a time.
 //!
 //! The ledgers, conditional writes and claim rows are the real ones; only the loop around them is
-//! the test's own. Packets wait in the network until they are delivered, repeated or forgotten.
+//! part of the test. Packets stay in the network until they are delivered, duplicated or lost.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,10 +19,10 @@
 use quickcheck::{Arbitrary as _, Gen};
 
 pub const SIDECARS: usize = 2;
-/// Calls under a key, each asked for by both entries.
+/// Calls with a key, each made by both entries.
 const KEYED_CALLS: usize = 2;
 const ENTRIES: usize = 2;
-/// Attempts that one asker makes at most.
+/// Maximum attempts at a call by one entry.
 pub const MAX_TRIES: u32 = 3;
 const TICK: Duration = Duration::from_millis(40);
 pub const EXPIRY_AHEAD: Duration = Duration::from_millis(100);
@@ -32,19 +32,19 @@
     keep_finished: Duration::from_millis(50),
 };
 
-/// A guard left out on purpose, to show that the runs would notice.
+/// A guard omitted on purpose, to show that the runs detect it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Omission {
     None,
-    /// Silence of a sidecar is taken for "not run".
+    /// A missing answer of a sidecar is treated as "not run".
     Cancel,
-    /// Silence of the table is taken for a claim that was won.
+    /// A missing reply of the table is treated as a won claim.
     ReadBack,
 }
 
-/// What a run came to.
+/// Results of runs.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct Counts {
     pub runs: usize,
     pub complete: usize,
     pub not_run: usize,
@@ -52,22 +52,22 @@
     pub restarts: usize,
 }
 
-/// Runs one schedule to its end, or says which promise it broke.
-pub fn run(seed: u64, steps: usize, omission: Omission) -> Result<Tally, String> {
-    let _named = NamedSeed(seed);
-    let mut world = World::new(seed, omission);
+/// Runs one schedule to its end; an error is a violated rule.
+pub fn run(seed: u64, steps: usize, omission: Omission) -> Result<Counts, String> {
+    let _reporter = SeedReporter(seed);
+    let mut simulation = Simulation::new(seed, omission);
     for _ in 0..steps {
-        world.random_step();
-        world.check()?;
+        simulation.random_step();
+        simulation.check()?;
     }
-    world.settle()?;
-    Ok(world.tally)
+    simulation.run_to_completion()?;
+    Ok(simulation.counts)
 }
 
-/// Names the seed when an assertion inside the program fails.
-struct NamedSeed(u64);
+/// Prints the seed when an assertion inside the program fails.
+struct SeedReporter(u64);
 
-impl Drop for NamedSeed {
+impl Drop for SeedReporter {
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!("seed {}: an assertion failed", self.0);
@@ -78,20 +78,20 @@
 #[derive(Debug, Clone)]
 pub enum Packet {
     Dispatch {
-        order: Order,
+        sent: SentAttempt,
         is_replay: bool,
     },
     Answer {
-        order: Order,
+        sent: SentAttempt,
         outcome: Outcome,
     },
-    Ask {
-        asker: usize,
-        order: Order,
+    Revoke {
+        entry_call: usize,
+        sent: SentAttempt,
     },
-    Told {
-        asker: usize,
-        order: Order,
+    RevokeReply {
+        entry_call: usize,
+        sent: SentAttempt,
         answer: RevokeAnswer,
     },
     Write {
@@ -112,21 +112,21 @@
     },
 }
 
-/// An attempt as its asker sent it.
+/// An attempt as its entry sent it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Order {
+pub struct SentAttempt {
     pub attempt: AttemptId,
-    pub asker: usize,
+    pub entry_call: usize,
     pub sidecar: usize,
     pub incarnation: Incarnation,
     pub expiry: SidecarClock,
     pub ticket: Option<ClaimTicket>,
 }
 
-/// Who waits for the table.
+/// The process that waits for the table's reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Writer {
-    Asker(usize),
+    Entry(usize),
     Sidecar(usize, Incarnation, AttemptId),
 }
 
@@ -134,16 +134,16 @@
 pub enum Phase {
     Idle,
     Reading,
-    Waiting(Order),
-    Cancelling(Order, ConditionalWrite),
-    Following(Order),
-    GivingUp(ConditionalWrite),
+    Waiting(SentAttempt),
+    Cancelling(SentAttempt, ConditionalWrite),
+    Following(SentAttempt),
+    MarkingUnknown(ConditionalWrite),
     Done,
 }
 
-/// One call as one entry serves it.
+/// One call as processed by one entry.
 #[derive(Debug)]
-pub struct Asker {
+pub struct EntryCall {
     pub call: usize,
     pub is_keyed: bool,
     pub tries: u32,
@@ -155,7 +155,7 @@
     Queued,
     Claiming(ConditionalWrite),
     Calling(Option<Row>),
-    GivingBack(ConditionalWrite),
+    CancellingClaim(ConditionalWrite),
     Finishing(ConditionalWrite),
 }
 
@@ -163,28 +163,28 @@
 pub struct Sidecar {
     pub ledger: Ledger,
     pub clock: SidecarClock,
-    pub jobs: BTreeMap<AttemptId, (Order, Job)>,
+    pub jobs: BTreeMap<AttemptId, (SentAttempt, Job)>,
 }
 
-pub struct World {
+pub struct Simulation {
     pub random: Gen,
     pub omission: Omission,
     pub table: BTreeMap<String, Row>,
     pub network: Vec<Packet>,
-    pub askers: Vec<Asker>,
+    pub entry_calls: Vec<EntryCall>,
     pub sidecars: Vec<Sidecar>,
     pub ran: BTreeMap<usize, Vec<AttemptId>>,
-    pub called_not_run: BTreeSet<AttemptId>,
-    pub mixed_up: Option<String>,
-    pub ids: u64,
-    pub tally: Tally,
+    pub reported_not_run: BTreeSet<AttemptId>,
+    pub wrong_result: Option<String>,
+    pub last_id: u64,
+    pub counts: Counts,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, omission: Omission) -> Self {
-        let keyed = (0..KEYED_CALLS * ENTRIES).map(|n| asker(n / ENTRIES, true));
-        let plain = (0..ENTRIES).map(|n| asker(KEYED_CALLS + n, false));
-        let askers = keyed.chain(plain).collect();
+        let keyed = (0..KEYED_CALLS * ENTRIES).map(|n| entry_call(n / ENTRIES, true));
+        let plain = (0..ENTRIES).map(|n| entry_call(KEYED_CALLS + n, false));
+        let entry_calls = keyed.chain(plain).collect();
         let sidecars = (0..SIDECARS)
             .map(|n| sidecar(Incarnation::new(n as u64)))
             .collect();
@@ -193,26 +193,26 @@
             omission,
             table: BTreeMap::new(),
             network: Vec::new(),
-            askers,
+            entry_calls,
             sidecars,
             ran: BTreeMap::new(),
-            called_not_run: BTreeSet::new(),
-            mixed_up: None,
-            ids: 1000,
-            tally: Tally::default(),
+            reported_not_run: BTreeSet::new(),
+            wrong_result: None,
+            last_id: 1000,
+            counts: Counts::default(),
         }
     }
 
     fn random_step(&mut self) {
         match self.pick(16) {
-            0..=6 => self.deliver_any(),
+            0..=6 => self.deliver_random(),
             7..=9 => {
-                let asker = self.pick(self.askers.len());
-                self.wake_asker(asker, false);
+                let entry_call = self.pick(self.entry_calls.len());
+                self.step_entry_call(entry_call, false);
             }
             10..=13 => {
                 let sidecar = self.pick(SIDECARS);
-                self.wake_sidecar(sidecar);
+                self.step_sidecar(sidecar);
             }
             14 => {
                 let sidecar = self.pick(SIDECARS);
@@ -232,17 +232,17 @@
                     attempts.len()
                 ));
             }
-            if let Some(attempt) = attempts.iter().find(|a| self.called_not_run.contains(a)) {
+            if let Some(attempt) = attempts.iter().find(|a| self.reported_not_run.contains(a)) {
                 return Err(format!(
                     "attempt {attempt} was answered \"not run\" and ran"
                 ));
             }
         }
-        self.mixed_up.clone().map_or(Ok(()), Err)
+        self.wrong_result.clone().map_or(Ok(()), Err)
     }
 
-    /// Without further faults every asker must come to its answer.
-    fn settle(&mut self) -> Result<(), String> {
+    /// Without further faults, every entry must answer its calls.
+    fn run_to_completion(&mut self) -> Result<(), String> {
         const MAX_ROUNDS: usize = 400;
         for _ in 0..MAX_ROUNDS {
             while !self.network.is_empty() {
@@ -250,25 +250,27 @@
                 self.deliver(packet);
             }
             for sidecar in 0..SIDECARS {
-                self.wake_sidecar(sidecar);
+                self.step_sidecar(sidecar);
             }
-            for asker in 0..self.askers.len() {
-                self.wake_asker(asker, true);
+            for entry_call in 0..self.entry_calls.len() {
+                self.step_entry_call(entry_call, true);
             }
             self.check()?;
             if self
-                .askers
+                .entry_calls
                 .iter()
-                .all(|asker| matches!(asker.phase, Phase::Done))
+                .all(|entry_call| matches!(entry_call.phase, Phase::Done))
             {
                 return Ok(());
             }
         }
         let stuck = self
-            .askers
+            .entry_calls
             .iter()
-            .find(|asker| !matches!(asker.phase, Phase::Done));
-        Err(format!("without faults no answer comes: {stuck:?}"))
+            .find(|entry_call| !matches!(entry_call.phase, Phase::Done));
+        Err(format!(
+            "no answer although the faults have ended: {stuck:?}"
+        ))
     }
 
     fn fault(&mut self) {
@@ -279,22 +281,22 @@
             }
             3 => {
                 let restarted = self.pick(SIDECARS);
-                let life = Incarnation::new(self.next_id());
-                self.sidecars[restarted] = sidecar(life);
-                self.tally.restarts += 1;
+                let incarnation = Incarnation::new(self.next_id());
+                self.sidecars[restarted] = sidecar(incarnation);
+                self.counts.restarts += 1;
             }
             _ => {}
         }
     }
 
-    fn deliver_any(&mut self) {
+    fn deliver_random(&mut self) {
         if self.network.is_empty() {
             return;
         }
         let index = self.pick(self.network.len());
-        let is_repeated = self.pick(4) == 0;
+        let is_duplicated = self.pick(4) == 0;
         let packet = self.network.swap_remove(index);
-        if is_repeated {
+        if is_duplicated {
             self.network.push(replay(&packet));
         }
         self.deliver(packet);
@@ -302,14 +304,14 @@
 
     fn deliver(&mut self, packet: Packet) {
         match packet {
-            Packet::Dispatch { order, is_replay } => self.admit(order, is_replay),
-            Packet::Answer { order, outcome } => self.take_answer(&order, &outcome),
-            Packet::Ask { asker, order } => self.ask(asker, order),
-            Packet::Told {
-                asker,
-                order,
+            Packet::Dispatch { sent, is_replay } => self.admit(sent, is_replay),
+            Packet::Answer { sent, outcome } => self.receive_answer(&sent, &outcome),
+            Packet::Revoke { entry_call, sent } => self.revoke(entry_call, sent),
+            Packet::RevokeReply {
+                entry_call,
+                sent,
                 answer,
-            } => self.take_told(asker, &order, answer),
+            } => self.receive_revoke_reply(entry_call, &sent, answer),
             Packet::Write {
                 writer,
                 transaction,
@@ -333,8 +335,8 @@
     }
 
     pub fn next_id(&mut self) -> u64 {
-        self.ids += 1;
-        self.ids
+        self.last_id += 1;
+        self.last_id
     }
 
     pub fn write_id(&mut self) -> WriteId {
@@ -343,8 +345,8 @@
     }
 }
 
-fn asker(call: usize, is_keyed: bool) -> Asker {
-    Asker {
+fn entry_call(call: usize, is_keyed: bool) -> EntryCall {
+    EntryCall {
         call,
         is_keyed,
         tries: 0,
@@ -352,22 +354,22 @@
     }
 }
 
-pub fn sidecar(life: Incarnation) -> Sidecar {
+pub fn sidecar(incarnation: Incarnation) -> Sidecar {
     Sidecar {
-        ledger: Ledger::new(life, LIMITS),
+        ledger: Ledger::new(incarnation, LIMITS),
         clock: SidecarClock::from_millis(1),
         jobs: BTreeMap::new(),
     }
 }
 
-pub fn writer(order: &Order) -> Writer {
-    Writer::Sidecar(order.sidecar, order.incarnation, order.attempt)
+pub fn writer(sent: &SentAttempt) -> Writer {
+    Writer::Sidecar(sent.sidecar, sent.incarnation, sent.attempt)
 }
 
 fn replay(packet: &Packet) -> Packet {
     match packet {
-        Packet::Dispatch { order, .. } => Packet::Dispatch {
-            order: order.clone(),
+        Packet::Dispatch { sent, .. } => Packet::Dispatch {
+            sent: sent.clone(),
             is_replay: true,
         },
         packet => packet.clone(),
--- a/crates/core/tests/random_protocol/table.rs
+++ b/crates/core/tests/random_protocol/table.rs
@@ -1,12 +1,12 @@
-//! The table: rows, transactions, and the answers on their way back.
+//! The table: rows, transactions and their replies.
 
 use amaranthscale_core::id::RowVersion;
 use amaranthscale_core::version::{ConditionalWrite, WriteEvent, WriteStep};
 use amaranthscale_core::wire::{Row, RowCheck, Transaction, TransactionReply};
 
-use crate::world::{Packet, World, Writer};
+use crate::simulation::{Packet, Simulation, Writer};
 
-impl World {
+impl Simulation {
     pub fn row(&self, key: &str) -> Row {
         self.table.get(key).cloned().unwrap_or_else(|| Row {
             key: key.to_owned(),
@@ -34,16 +34,16 @@
 
     pub fn table_event(&mut self, writer: Writer, event: WriteEvent) {
         match writer {
-            Writer::Asker(asker) => self.asker_event(asker, event),
-            Writer::Sidecar(sidecar, life, attempt) => {
-                if self.sidecars[sidecar].ledger.incarnation() == life {
+            Writer::Entry(entry_call) => self.entry_event(entry_call, event),
+            Writer::Sidecar(sidecar, incarnation, attempt) => {
+                if self.sidecars[sidecar].ledger.incarnation() == incarnation {
                     self.job_event(sidecar, attempt, event);
                 }
             }
         }
     }
 
-    pub fn follow(&mut self, writer: Writer, write: &ConditionalWrite, step: &WriteStep) {
+    pub fn perform_step(&mut self, writer: Writer, write: &ConditionalWrite, step: &WriteStep) {
         let key = write.key().to_owned();
         match step {
             WriteStep::Send => {
--- a/crates/core/tests/random_protocol_wire.rs
+++ b/crates/core/tests/random_protocol_wire.rs
@@ -1,4 +1,4 @@
-//! Bytes that hold no message are refused, never a panic.
+//! Invalid bytes are refused by the decoders without a panic.
 
 use amaranthscale_core::ResultCode;
 use amaranthscale_core::id::{HostId, TreeVersion};
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn random_bytes_are_refused_or_read() {
+fn random_bytes_are_refused_or_decoded() {
     for seed in 0..SEEDS {
         let mut random = Gen::from_size_and_seed(200, seed);
         let bytes = Vec::<u8>::arbitrary(&mut random);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn damaged_messages_are_refused_or_read() {
+fn damaged_messages_are_refused_or_decoded() {
     let samples = samples();
     let mut accepted = 0;
     for seed in 0..SEEDS {
@@ -86,6 +86,6 @@
         bytes.truncate(bytes.len() - usize::from(bool::arbitrary(&mut random)));
         accepted += decode_as_every_message(&bytes);
     }
-    println!("{SEEDS} damaged messages, read {accepted} times");
+    println!("{SEEDS} damaged messages, decoded {accepted} times");
     assert!(accepted > 0);
 }
--- a/crates/core/tests/spec_at_most_once/main.rs
+++ b/crates/core/tests/spec_at_most_once/main.rs
@@ -1,22 +1,23 @@
-//! Every interleaving of the at-most-once protocol, and each guard shown to be needed.
+//! Exhaustive search over the interleavings of the at-most-once protocol, with each guard shown to
+//! be necessary.
 
-mod entry_moves;
+mod entry_transitions;
 mod model;
 mod refinement;
 mod search;
-mod sidecar_moves;
-mod table_moves;
+mod sidecar_transitions;
+mod table_transitions;
 
-use model::{DISOWNED, Guard, MIXED_UP, RAN_AFTER_ALL, RAN_TWICE, Spec};
+use model::{Guard, ORPHANED_CLAIM, RAN_AFTER_NOT_RUN, RAN_TWICE, Spec, WRONG_OUTCOME};
 use search::{Specification as _, search};
 
-/// Searches wider bounds than a run of CI has time for.
+/// Enables searches with wider bounds than CI has time for.
 const WIDE_VARIABLE: &str = "AMARANTH_SPEC_WIDE";
 
-/// Each entry has a call of its own; the ledger alone keeps the promise.
-fn ledger_alone(off: Option<Guard>) -> Spec {
+/// Each entry has its own call; only the ledger makes it run at most once.
+fn ledger_alone(disabled: Option<Guard>) -> Spec {
     Spec {
-        off,
+        disabled,
         uses_claim: false,
         tries: [2, 1],
         revokes: true,
@@ -26,10 +27,10 @@
     }
 }
 
-/// Both entries have the same call under one key, and one may try twice.
-fn one_key(off: Option<Guard>) -> Spec {
+/// Both entries have the same call with one key, and one of them may make two attempts.
+fn one_key(disabled: Option<Guard>) -> Spec {
     Spec {
-        off,
+        disabled,
         uses_claim: true,
         tries: [1, 2],
         revokes: false,
@@ -39,25 +40,28 @@
     }
 }
 
-/// As `one_key` with one try each, and with crashes and revocations.
-fn one_key_crashing(off: Option<Guard>) -> Spec {
+/// As `one_key` with one attempt each, and with crashes and revocations.
+fn one_key_crashing(disabled: Option<Guard>) -> Spec {
     Spec {
         tries: [1, 1],
         revokes: true,
         crashes: 1,
-        ..one_key(off)
+        ..one_key(disabled)
     }
 }
 
 fn assert_exhausted(name: &str, spec: &Spec) {
-    let found = search(name, spec, Spec::RULES);
-    assert!(found.counterexample.is_none());
-    assert!(found.states > 1, "the search has not left its start");
+    let result = search(name, spec, Spec::RULES);
+    assert!(result.counterexample.is_none());
+    assert!(
+        result.states > 1,
+        "the search has not left its initial state"
+    );
 }
 
-fn assert_broken(name: &str, spec: &Spec, rule: &'static str) {
-    let found = search(name, spec, &[rule]);
-    let actions = found.counterexample.expect("the guard is not needed");
+fn assert_violated(name: &str, spec: &Spec, rule: &'static str) {
+    let result = search(name, spec, &[rule]);
+    let actions = result.counterexample.expect("the guard is not necessary");
     assert!(!actions.is_empty());
 }
 
@@ -98,88 +102,88 @@
 
 #[test]
 fn without_incarnation_a_replay_runs_twice() {
-    // A caller sees one notice sent twice. The sidecar runs the attempt, restarts and forgets it;
-    // a delayed copy of the dispatch arrives in its next life and looks new.
+    // The sidecar runs the attempt, restarts and loses its record; a delayed copy of the dispatch
+    // arrives at the next incarnation and seems new. A notice is sent twice.
     let spec = ledger_alone(Some(Guard::Incarnation));
-    assert_broken("no incarnation", &spec, RAN_TWICE);
+    assert_violated("no incarnation", &spec, RAN_TWICE);
 }
 
 #[test]
 fn without_expiry_a_replay_runs_twice() {
-    // A caller sees one notice sent twice. The ledger drops the finished attempt to bound its
-    // memory; a copy of the dispatch, stuck in a silent connection, arrives afterwards.
+    // The ledger drops the finished attempt to limit its memory; a copy of the dispatch, delayed in
+    // a stalled connection, arrives afterwards. A notice is sent twice.
     let spec = ledger_alone(Some(Guard::Expiry));
-    assert_broken("no expiry", &spec, RAN_TWICE);
+    assert_violated("no expiry", &spec, RAN_TWICE);
 }
 
 #[test]
 fn without_forgotten_a_call_that_ran_is_refused() {
-    // A caller is told "not run" though the call ran. The ledger has dropped the attempt when the
-    // entry asks about it, and takes "I know nothing" for "it did not run".
+    // The ledger has dropped the attempt when the entry revokes it, and reports an attempt without
+    // a record as not run. The call is reported as "not run" although it ran.
     let spec = ledger_alone(Some(Guard::Forgotten));
-    assert_broken("no forgotten", &spec, RAN_AFTER_ALL);
+    assert_violated("no forgotten", &spec, RAN_AFTER_NOT_RUN);
 }
 
 #[test]
 fn without_a_tombstone_a_revoked_attempt_runs() {
-    // A caller is told "not run" and its call runs a moment later. The revocation overtakes the
-    // dispatch on a new connection, finds nothing and leaves nothing behind.
+    // The revocation arrives on a new connection before the dispatch, finds no record and records
+    // no tombstone. The call is reported as "not run" and runs shortly after.
     let spec = ledger_alone(Some(Guard::Tombstone));
-    assert_broken("no tombstone", &spec, RAN_AFTER_ALL);
+    assert_violated("no tombstone", &spec, RAN_AFTER_NOT_RUN);
 }
 
 #[test]
 fn sending_an_attempt_twice_refuses_a_call_that_ran() {
-    // A caller is told "not run" though the call ran. The entry's HTTP client sends the attempt
-    // again by itself, and the entry believes the refusal that the second delivery gets.
+    // The entry's HTTP client resends the attempt on its own, and the entry accepts the refusal of
+    // the second delivery. The call is reported as "not run" although it ran.
     let spec = ledger_alone(Some(Guard::SendOnce));
-    assert_broken("sent twice", &spec, RAN_AFTER_ALL);
+    assert_violated("sent twice", &spec, RAN_AFTER_NOT_RUN);
 }
 
 #[test]
-fn without_the_echo_a_caller_gets_the_answer_of_another() {
-    // A driver is shown another truck's assessment. Two answers cross on their way, and the entry
-    // takes the first that comes without comparing the attempt that it names.
-    let spec = ledger_alone(Some(Guard::Echo));
-    assert_broken("no echo", &spec, MIXED_UP);
+fn without_matching_answers_a_caller_gets_the_answer_of_another() {
+    // Two answers arrive in the wrong order, and the entry accepts the first one without comparing
+    // its attempt id. A driver is shown another truck's assessment.
+    let spec = ledger_alone(Some(Guard::MatchAnswer));
+    assert_violated("answers not matched", &spec, WRONG_OUTCOME);
 }
 
 #[test]
 fn without_the_claim_version_two_sidecars_run_a_call() {
-    // A grower is paid twice. Both entries dispatch the same call to different sidecars, and the
-    // second claim overwrites the first.
+    // Both entries dispatch the same call to different sidecars, and the second claim overwrites
+    // the first. A grower is paid twice.
     let spec = one_key(Some(Guard::ClaimVersion));
-    assert_broken("no claim version", &spec, RAN_TWICE);
+    assert_violated("no claim version", &spec, RAN_TWICE);
 }
 
 #[test]
-fn without_cancelling_an_unreachable_attempt_runs_after_all() {
-    // A caller is told "not run" and the notice goes out later. The entry cannot reach the sidecar
-    // and takes silence for proof; the sidecar was only paused, wakes and claims.
+fn without_cancelling_an_unreachable_attempt_runs_later() {
+    // The entry cannot reach the sidecar and treats the missing answer as proof; the sidecar was
+    // only paused, resumes and claims. A notice reported as "not run" is sent later.
     let spec = one_key(Some(Guard::Cancel));
-    assert_broken("no cancel", &spec, RAN_AFTER_ALL);
+    assert_violated("no cancel", &spec, RAN_AFTER_NOT_RUN);
 }
 
 #[test]
 fn without_reading_back_a_lost_claim_runs_twice() {
-    // A grower is paid twice. The answer to a claim is lost; the sidecar takes it for won while
-    // another sidecar holds the claim.
+    // The reply to a claim is lost, and the sidecar treats it as won while another sidecar holds
+    // the claim. A grower is paid twice.
     let spec = one_key(Some(Guard::ReadBack));
-    assert_broken("no read back", &spec, RAN_TWICE);
+    assert_violated("no read back", &spec, RAN_TWICE);
 }
 
 #[test]
-fn without_repeating_a_cancellation_the_call_runs_after_all() {
-    // A caller is told "not run" and its call runs. The answer to the cancellation is lost, the
-    // row read back still shows the old version, and the claim takes effect after that read.
+fn without_repeating_a_cancellation_the_call_runs_later() {
+    // The reply to the cancellation is lost, the row read back still has the old version, and the
+    // claim takes effect after that read. The call is reported as "not run" and runs.
     let spec = one_key(Some(Guard::RepeatWrite));
-    assert_broken("no repeated cancellation", &spec, RAN_AFTER_ALL);
+    assert_violated("no repeated cancellation", &spec, RAN_AFTER_NOT_RUN);
 }
 
 #[test]
 fn without_repeating_a_claim_nobody_holds_it() {
-    // A caller is told "still running" for ever. The answer to the claim is lost, the row read
-    // back shows the old version, the sidecar gives up, and then the claim takes effect.
+    // The reply to the claim is lost, the row read back has the old version, the sidecar gives up,
+    // and then the claim takes effect. The call is reported as still running forever.
     let spec = one_key(Some(Guard::RepeatWrite));
-    assert_broken("no repeated claim", &spec, DISOWNED);
+    assert_violated("no repeated claim", &spec, ORPHANED_CLAIM);
 }
--- a/crates/core/tests/spec_at_most_once/model.rs
+++ b/crates/core/tests/spec_at_most_once/model.rs
@@ -1,66 +1,66 @@
-//! The specification of at-most-once, small enough to search whole.
+//! The specification of the at-most-once protocol, small enough for an exhaustive search.
 //!
-//! Two entries, two sidecars and one claim row. Every actor may be paused for ever between any two
-//! of its steps, since nothing forces a step. A message once sent stays in the network: it may
-//! arrive late, in any order, many times, or never. A table write may take effect at any time
-//! after it was sent, with its answer delivered or lost.
+//! Two entries, two sidecars and one claim row. Every process may be paused forever between any two
+//! of its steps, since no step is forced. A message stays in the network after it was sent: it may
+//! arrive late, in any order, several times, or never. A table write may take effect at any time
+//! after it was sent, with its reply delivered or lost.
 
 use std::fmt;
 
 use crate::search::Specification;
 
 pub const RAN_TWICE: &str = "a call ran twice";
-pub const RAN_AFTER_ALL: &str = "an attempt that was answered \"not run\" ran";
-pub const MIXED_UP: &str = "an entry answered with the outcome of another call";
-pub const DISOWNED: &str = "the claim is held by an attempt that its sidecar refused";
+pub const RAN_AFTER_NOT_RUN: &str = "an attempt that was answered \"not run\" ran";
+pub const WRONG_OUTCOME: &str = "an entry answered with the outcome of another call";
+pub const ORPHANED_CLAIM: &str = "the claim is held by an attempt that its sidecar refused";
 
 pub const ENTRIES: usize = 2;
 pub const SIDECARS: usize = 2;
-/// Attempts that one entry can make; attempt ids count through entry 0 first.
+/// Attempts that one entry can make; attempt ids of entry 0 come first.
 pub const TRIES: usize = 2;
 pub const ATTEMPTS: usize = ENTRIES * TRIES;
 
-/// What keeps the promise; each can be switched off.
+/// Parts of the protocol that make it correct; each can be disabled.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Guard {
-    /// A sidecar refuses what was meant for another of its lives.
+    /// A sidecar refuses messages to another of its incarnations.
     Incarnation,
-    /// A sidecar refuses what has expired.
+    /// A sidecar refuses expired attempts.
     Expiry,
-    /// A sidecar tells "forgotten" from "revoked".
+    /// A sidecar distinguishes "forgotten" from "revoked".
     Forgotten,
-    /// Revoking an absent attempt leaves a tombstone.
+    /// Revoking an absent attempt records a tombstone.
     Tombstone,
-    /// An entry never sends an attempt twice, so that the answer to a replay reaches nobody.
+    /// An entry never sends an attempt twice, so that no process waits for the answer to a replay.
     SendOnce,
-    /// An entry drops an answer that names another attempt.
-    Echo,
-    /// A claim is written only over the version that the attempt carries.
+    /// An entry drops an answer to another attempt.
+    MatchAnswer,
+    /// A claim is written only over the version that was dispatched with the attempt.
     ClaimVersion,
-    /// An entry cancels before it calls an attempt it cannot reach "not run".
+    /// An entry cancels before it reports an unreachable attempt as "not run".
     Cancel,
-    /// A writer whose answer was lost reads the row back.
+    /// A writer whose reply was lost reads the row back.
     ReadBack,
-    /// A writer that reads the old row back goes on with the same write.
+    /// A writer that reads back the old row repeats the same write.
     RepeatWrite,
 }
 
-/// How much may happen, which keeps the search finite.
+/// The protocol with limits on events, which keep the search finite.
 #[derive(Debug)]
 pub struct Spec {
-    /// The guard that is switched off, if any.
-    pub off: Option<Guard>,
-    /// Whether both entries serve one call under one key; otherwise each has its own call.
+    /// The disabled guard, if any.
+    pub disabled: Option<Guard>,
+    /// Whether both entries have one call with one key; otherwise each has its own call.
     pub uses_claim: bool,
     /// Attempts of each entry, at most `TRIES`.
     pub tries: [u8; ENTRIES],
-    /// Whether entries ask about attempts that they hear nothing of.
+    /// Whether entries revoke attempts that are not answered.
     pub revokes: bool,
-    /// Restarts of all sidecars together.
+    /// Maximum restarts of all sidecars together.
     pub restarts: u8,
-    /// Crashes of all entries together.
+    /// Maximum crashes of all entries together.
     pub crashes: u8,
-    /// Clock ticks of all sidecars together; one tick expires what was sent before.
+    /// Maximum clock ticks of all sidecars together; one tick expires all attempts sent before it.
     pub ticks: u8,
 }
 
@@ -106,18 +106,18 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct Attempt {
     pub sidecar: u8,
-    pub life: u8,
+    pub incarnation: u8,
     pub expiry: u8,
     pub version: u8,
     pub progress: Progress,
     pub runs: u8,
-    /// Whether an entry took it as proven that this attempt never runs.
-    pub is_called_not_run: bool,
+    /// Whether an entry has reported this attempt as "not run".
+    pub is_reported_not_run: bool,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 pub struct Sidecar {
-    pub life: u8,
+    pub incarnation: u8,
     pub clock: u8,
 }
 
@@ -128,12 +128,12 @@
     Revoke,
     Complete,
     NotRun,
-    Gone,
+    Forgotten,
     ClaimWrite,
     CancelWrite,
 }
 
-/// Which messages have been sent, one bit each.
+/// The messages in the network, one bit each.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 pub struct Network(u64);
 
@@ -163,23 +163,24 @@
     }
 }
 
-pub type Moves = Vec<(Action, State)>;
+pub type Transitions = Vec<(Action, State)>;
 
 impl Specification for Spec {
     type State = State;
     type Action = Action;
 
-    const RULES: &'static [&'static str] = &[RAN_TWICE, RAN_AFTER_ALL, MIXED_UP, DISOWNED];
+    const RULES: &'static [&'static str] =
+        &[RAN_TWICE, RAN_AFTER_NOT_RUN, WRONG_OUTCOME, ORPHANED_CLAIM];
 
     fn start(&self) -> State {
         let attempt = Attempt {
             sidecar: 0,
-            life: 0,
+            incarnation: 0,
             expiry: 0,
             version: 0,
             progress: Progress::Absent,
             runs: 0,
-            is_called_not_run: false,
+            is_reported_not_run: false,
         };
         State {
             row_version: 0,
@@ -197,46 +198,46 @@
         }
     }
 
-    fn moves(&self, state: &State) -> Moves {
-        let mut moves = Vec::new();
+    fn transitions(&self, state: &State) -> Transitions {
+        let mut transitions = Vec::new();
         for entry in 0..ENTRIES {
-            self.entry_moves(state, entry, &mut moves);
+            self.entry_transitions(state, entry, &mut transitions);
         }
         for attempt in 0..ATTEMPTS {
-            self.network_moves(state, attempt, &mut moves);
-            self.sidecar_moves(state, attempt, &mut moves);
-            self.table_moves(state, attempt, &mut moves);
+            self.network_transitions(state, attempt, &mut transitions);
+            self.sidecar_transitions(state, attempt, &mut transitions);
+            self.table_transitions(state, attempt, &mut transitions);
         }
         for sidecar in 0..SIDECARS {
-            self.fault_moves(state, sidecar, &mut moves);
+            self.fault_transitions(state, sidecar, &mut transitions);
         }
-        for (_, next) in &mut moves {
-            self.drop_dead_messages(next);
+        for (_, next) in &mut transitions {
+            self.drop_ineffective_messages(next);
         }
-        moves
+        transitions
     }
 
     fn violates(&self, state: &State, rule: &'static str) -> bool {
         match rule {
             RAN_TWICE if self.uses_claim => runs(&state.attempts) > 1,
             RAN_TWICE => state.attempts.chunks(TRIES).any(|own| runs(own) > 1),
-            RAN_AFTER_ALL => state
+            RAN_AFTER_NOT_RUN => state
                 .attempts
                 .iter()
-                .any(|a| a.is_called_not_run && a.runs > 0),
-            MIXED_UP => (0..ENTRIES).any(|entry| self.is_mixed_up(state, entry)),
-            DISOWNED => is_disowned(state),
+                .any(|a| a.is_reported_not_run && a.runs > 0),
+            WRONG_OUTCOME => (0..ENTRIES).any(|entry| self.has_wrong_outcome(state, entry)),
+            ORPHANED_CLAIM => is_orphaned(state),
             _ => panic!("no such rule: {rule}"),
         }
     }
 }
 
 impl Spec {
-    pub fn has(&self, guard: Guard) -> bool {
-        self.off != Some(guard)
+    pub fn is_enabled(&self, guard: Guard) -> bool {
+        self.disabled != Some(guard)
     }
 
-    pub fn is_mixed_up(&self, state: &State, entry: usize) -> bool {
+    pub fn has_wrong_outcome(&self, state: &State, entry: usize) -> bool {
         let Phase::Complete(attempt) = state.entries[entry].phase else {
             return false;
         };
@@ -245,22 +246,22 @@
         !is_own || state.attempts[attempt].runs == 0
     }
 
-    /// Forgets messages that no actor would act on, which merges states that differ in nothing.
-    pub fn drop_dead_messages(&self, state: &mut State) {
+    /// Drops messages that no process would act on, which merges equivalent states.
+    pub fn drop_ineffective_messages(&self, state: &mut State) {
         for id in 0..ATTEMPTS {
             let entry = state.entries[id / TRIES];
             let is_awaited = matches!(entry.phase, Phase::Waiting | Phase::Cancelling);
             if !is_awaited || state.current(id / TRIES) != id {
                 state.network.take(Message::NotRun, id);
-                state.network.take(Message::Gone, id);
-                if self.has(Guard::Echo) {
+                state.network.take(Message::Forgotten, id);
+                if self.is_enabled(Guard::MatchAnswer) {
                     state.network.take(Message::Complete, id);
                 }
             }
-            // A conditional write of an old version can only be refused, as reading back shows.
+            // A conditional write over an old version can only be refused.
             if state.row_version > state.attempts[id].version {
                 state.network.take(Message::CancelWrite, id);
-                if self.has(Guard::ClaimVersion) {
+                if self.is_enabled(Guard::ClaimVersion) {
                     state.network.take(Message::ClaimWrite, id);
                 }
             }
@@ -269,13 +270,13 @@
 }
 
 impl State {
-    /// The attempt that an entry made last.
+    /// The latest attempt of an entry.
     pub fn current(&self, entry: usize) -> usize {
         entry * TRIES + usize::from(self.entries[entry].tries) - 1
     }
 
-    pub fn is_same_life(&self, attempt: Attempt) -> bool {
-        self.sidecars[usize::from(attempt.sidecar)].life == attempt.life
+    pub fn is_same_incarnation(&self, attempt: Attempt) -> bool {
+        self.sidecars[usize::from(attempt.sidecar)].incarnation == attempt.incarnation
     }
 
     pub fn is_expired(&self, attempt: Attempt) -> bool {
@@ -287,9 +288,9 @@
         self.row_version += 1;
     }
 
-    pub fn call_not_run(&mut self, entry: usize) {
+    pub fn report_not_run(&mut self, entry: usize) {
         let id = self.current(entry);
-        self.attempts[id].is_called_not_run = true;
+        self.attempts[id].is_reported_not_run = true;
         self.entries[entry].phase = Phase::Idle;
     }
 
@@ -317,19 +318,19 @@
     1 << (message as usize * ATTEMPTS + id)
 }
 
-fn is_disowned(state: &State) -> bool {
+fn is_orphaned(state: &State) -> bool {
     let Claim::Started(attempt) = state.row else {
         return false;
     };
     let holder = state.attempts[usize::from(attempt)];
-    holder.progress == Progress::Refused && state.is_same_life(holder)
+    holder.progress == Progress::Refused && state.is_same_incarnation(holder)
 }
 
 fn runs(attempts: &[Attempt]) -> u8 {
     attempts.iter().map(|attempt| attempt.runs).sum()
 }
 
-pub fn small(id: usize) -> u8 {
+pub fn as_u8(id: usize) -> u8 {
     u8::try_from(id).expect("there are few attempts")
 }
 
--- a/crates/core/tests/spec_at_most_once/refinement.rs
+++ b/crates/core/tests/spec_at_most_once/refinement.rs
@@ -1,7 +1,7 @@
-//! The real ledger does in every case what the specification's sidecar does.
+//! Checks that the real ledger refines the specification's sidecar.
 //!
-//! In the specification an attempt's record depends on nothing but its own progress, on whether its
-//! life is the present one and on whether it has expired, so these cases are all there are.
+//! In the specification an attempt's record depends only on its own progress, on whether it was
+//! sent to the current incarnation, and on whether it has expired, so these cases are complete.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::search::Specification as _;
 
 const SPEC: Spec = Spec {
-    off: None,
+    disabled: None,
     uses_claim: false,
     tries: [1, 1],
     revokes: true,
@@ -23,16 +23,16 @@
     crashes: 0,
     ticks: 0,
 };
-const LIFE: Incarnation = Incarnation::new(8);
-const EARLIER_LIFE: Incarnation = Incarnation::new(7);
+const INCARNATION: Incarnation = Incarnation::new(8);
+const EARLIER_INCARNATION: Incarnation = Incarnation::new(7);
 const EXPIRY: SidecarClock = SidecarClock::from_millis(10);
 const BEFORE_EXPIRY: SidecarClock = SidecarClock::from_millis(5);
 const AFTER_EXPIRY: SidecarClock = SidecarClock::from_millis(11);
 
-/// One attempt as both sides see it.
+/// One attempt in the specification and in the real ledger.
 struct Case {
     progress: Progress,
-    is_same_life: bool,
+    is_same_incarnation: bool,
     is_expired: bool,
     spec: State,
     ledger: Ledger,
@@ -47,22 +47,22 @@
         }
     }
 
-    fn life(&self) -> Incarnation {
-        if self.is_same_life {
-            LIFE
+    fn incarnation(&self) -> Incarnation {
+        if self.is_same_incarnation {
+            INCARNATION
         } else {
-            EARLIER_LIFE
+            EARLIER_INCARNATION
         }
     }
 
     fn name(&self) -> String {
         let Self {
             progress,
-            is_same_life,
+            is_same_incarnation,
             is_expired,
             ..
         } = self;
-        format!("{progress:?}, same life {is_same_life}, expired {is_expired}")
+        format!("{progress:?}, same incarnation {is_same_incarnation}, expired {is_expired}")
     }
 }
 
@@ -92,30 +92,30 @@
     cases
 }
 
-fn case(progress: Progress, is_same_life: bool, is_expired: bool) -> Case {
+fn case(progress: Progress, is_same_incarnation: bool, is_expired: bool) -> Case {
     let mut spec = SPEC.start();
     spec.attempts[0].progress = progress;
-    spec.sidecars[0].life = u8::from(!is_same_life);
+    spec.sidecars[0].incarnation = u8::from(!is_same_incarnation);
     spec.sidecars[0].clock = u8::from(is_expired);
     Case {
         progress,
-        is_same_life,
+        is_same_incarnation,
         is_expired,
         spec,
         ledger: ledger(progress),
     }
 }
 
-/// Brings a ledger to where the attempt has made this progress.
+/// Creates a ledger in which the attempt has the given progress.
 fn ledger(progress: Progress) -> Ledger {
     let limits = LedgerLimits {
         keep_finished: Duration::ZERO,
         ..LedgerLimits::default()
     };
-    let mut ledger = Ledger::new(LIFE, limits);
+    let mut ledger = Ledger::new(INCARNATION, limits);
     if progress != Progress::Absent {
         ledger
-            .admit(attempt(), LIFE, EXPIRY, BEFORE_EXPIRY)
+            .admit(attempt(), INCARNATION, EXPIRY, BEFORE_EXPIRY)
             .expect("the ledger is empty");
     }
     if matches!(progress, Progress::Calling | Progress::Finished) {
@@ -130,14 +130,14 @@
         }
         Progress::Refused => ledger.refuse(attempt(), ResultCode::QueueFull, BEFORE_EXPIRY),
         Progress::Revoked => {
-            ledger.revoke(attempt(), LIFE, EXPIRY, BEFORE_EXPIRY);
+            ledger.revoke(attempt(), INCARNATION, EXPIRY, BEFORE_EXPIRY);
         }
         _ => {}
     }
     ledger
 }
 
-/// What the specification calls the state that a ledger shows.
+/// The specification's progress for the state in a ledger.
 fn progress_in(ledger: &Ledger) -> Progress {
     match ledger.state(&attempt()) {
         None => Progress::Absent,
@@ -149,26 +149,27 @@
     }
 }
 
-/// What an entry takes a refusal for; a duplicate tells it nothing.
-fn is_called_not_run(code: ResultCode) -> bool {
+/// Whether an entry reports a refusal as "not run"; a duplicate says nothing about the attempt.
+fn is_reported_not_run(code: ResultCode) -> bool {
     code.ran() == Ran::No && code != ResultCode::DuplicateAttempt
 }
 
 #[test]
 fn admit_refines_the_specification() {
     for mut case in cases() {
-        let (life, now, name) = (case.life(), case.now(), case.name());
+        let (incarnation, now, name) = (case.incarnation(), case.now(), case.name());
 
         SPEC.admit(&mut case.spec, 0, true);
-        let admitted = case.ledger.admit(attempt(), life, EXPIRY, now);
+        let admitted = case.ledger.admit(attempt(), incarnation, EXPIRY, now);
 
         assert_eq!(
             progress_in(&case.ledger),
             case.spec.attempts[0].progress,
             "{name}"
         );
-        // The ledger may stay silent where the specification may speak, never the other way.
-        if admitted.is_err_and(is_called_not_run) {
+        // The ledger need not send a message that the specification allows, but must not send
+        // others.
+        if admitted.is_err_and(is_reported_not_run) {
             assert!(case.spec.network.has(Message::NotRun, 0), "{name}");
         }
     }
@@ -178,14 +179,14 @@
 fn start_refines_the_specification() {
     for mut case in cases() {
         let (now, name) = (case.now(), case.name());
-        let mut moves = Vec::new();
+        let mut transitions = Vec::new();
         if case.progress == Progress::Queued {
-            SPEC.begin(&case.spec, 0, &mut moves);
+            SPEC.begin(&case.spec, 0, &mut transitions);
         }
 
         let started = case.ledger.start(attempt(), now);
 
-        let expected = moves
+        let expected = transitions
             .first()
             .map_or(case.progress, |(_, next)| next.attempts[0].progress);
         assert_eq!(progress_in(&case.ledger), expected, "{name}");
@@ -197,10 +198,10 @@
 #[test]
 fn revoke_refines_the_specification() {
     for mut case in cases() {
-        let (life, now, name) = (case.life(), case.now(), case.name());
+        let (incarnation, now, name) = (case.incarnation(), case.now(), case.name());
 
         SPEC.revoke(&mut case.spec, 0);
-        let answer = case.ledger.revoke(attempt(), life, EXPIRY, now);
+        let answer = case.ledger.revoke(attempt(), incarnation, EXPIRY, now);
 
         assert_eq!(
             progress_in(&case.ledger),
@@ -212,9 +213,9 @@
             RevokeAnswer::Revoked => Some(Message::NotRun),
             RevokeAnswer::Finished(outcome) if outcome.ran() == Ran::No => Some(Message::NotRun),
             RevokeAnswer::Finished(_) => Some(Message::Complete),
-            RevokeAnswer::Forgotten | RevokeAnswer::OtherIncarnation => Some(Message::Gone),
+            RevokeAnswer::Forgotten | RevokeAnswer::OtherIncarnation => Some(Message::Forgotten),
         };
-        let answers = [Message::NotRun, Message::Complete, Message::Gone];
+        let answers = [Message::NotRun, Message::Complete, Message::Forgotten];
         let expected = answers
             .into_iter()
             .find(|sent| case.spec.network.has(*sent, 0));
--- a/crates/core/tests/spec_at_most_once/search.rs
+++ b/crates/core/tests/spec_at_most_once/search.rs
@@ -1,4 +1,4 @@
-//! Exhaustive breadth-first search with a printed trace.
+//! Exhaustive breadth-first search that prints a trace of the violation.
 
 use std::cell::Cell;
 use std::fmt;
@@ -7,29 +7,29 @@
 
 use pathfinding::directed::bfs::bfs;
 
-/// A specification: a start, its moves, and what must never be seen.
+/// A specification: an initial state, the transitions and the rules.
 pub trait Specification {
     type State: Copy + Eq + Hash + fmt::Debug;
     type Action: Copy + fmt::Display;
 
-    /// What must hold in every state.
+    /// Rules that must hold in every state.
     const RULES: &'static [&'static str];
 
     fn start(&self) -> Self::State;
-    fn moves(&self, state: &Self::State) -> Vec<(Self::Action, Self::State)>;
+    fn transitions(&self, state: &Self::State) -> Vec<(Self::Action, Self::State)>;
     fn violates(&self, state: &Self::State, rule: &'static str) -> bool;
 }
 
-/// What a search found.
-pub struct Found {
+/// Result of a search.
+pub struct SearchResult {
     pub states: usize,
     pub depth: usize,
-    /// Actions that lead to the nearest violation; none if all states hold.
+    /// Actions that lead to the nearest violation; `None` if there is none.
     pub counterexample: Option<Vec<String>>,
 }
 
-/// Visits every reachable state, or stops at the nearest that violates one of the rules.
-pub fn search<S: Specification>(name: &str, spec: &S, rules: &[&'static str]) -> Found {
+/// Visits all reachable states, or stops at the nearest one that violates a rule.
+pub fn search<S: Specification>(name: &str, spec: &S, rules: &[&'static str]) -> SearchResult {
     let started = Instant::now();
     let states = Cell::new(0);
     let depth = Cell::new(0);
@@ -42,26 +42,26 @@
         states.set(states.get() + 1);
         depth.set(depth.get().max(node.depth));
         let next_depth = node.depth + 1;
-        let moves = spec.moves(&node.state);
-        moves.into_iter().map(move |(action, state)| Node {
+        let transitions = spec.transitions(&node.state);
+        transitions.into_iter().map(move |(action, state)| Node {
             state,
             depth: next_depth,
             action: Some(action),
         })
     };
-    let is_broken = |state: &S::State| rules.iter().any(|rule| spec.violates(state, rule));
-    let path = bfs(&start, successors, |node| is_broken(&node.state));
+    let is_violated = |state: &S::State| rules.iter().any(|rule| spec.violates(state, rule));
+    let path = bfs(&start, successors, |node| is_violated(&node.state));
     let counterexample = path.map(|path| trace(&path));
-    let found = Found {
+    let result = SearchResult {
         states: states.get(),
         depth: depth.get(),
         counterexample,
     };
-    print(name, &found, rules, started);
-    found
+    print(name, &result, rules, started);
+    result
 }
 
-/// A state with the way it was first reached, which is no part of its identity.
+/// A state with the action by which it was first reached, which is not part of its identity.
 struct Node<S: Specification> {
     state: S::State,
     depth: usize,
@@ -97,11 +97,11 @@
     actions.map(|action| action.to_string()).collect()
 }
 
-fn print(name: &str, found: &Found, rules: &[&str], started: Instant) {
-    let Found { states, depth, .. } = found;
+fn print(name: &str, result: &SearchResult, rules: &[&str], started: Instant) {
+    let SearchResult { states, depth, .. } = result;
     let elapsed_ms = started.elapsed().as_millis();
     println!("{name}: {states} states, depth {depth}, {elapsed_ms} ms");
-    let Some(actions) = &found.counterexample else {
+    let Some(actions) = &result.counterexample else {
         println!("  exhausted, no violation");
         return;
     };
