--- a/crates/standins/src/acceptor.rs
+++ b/crates/standins/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepts connections until told to stop.
+//! Accepts TCP connections until the stop signal.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 
 use crate::http::{Running, StopSignal};
 
-/// Listens, and serves each connection in a task of its own.
+/// Listens at an address and serves each connection in a task of its own.
 pub(crate) async fn start_acceptor<S, F>(
     listen: SocketAddr,
     stop: StopSignal,
@@ -24,7 +24,7 @@
     Ok(Running::new(address, stop, task))
 }
 
-/// Accepts until told to stop; leaving drops the set, which aborts all connections.
+/// Accepts until the stop signal; returning drops the set, which aborts all connections.
 async fn accept<S, F>(listener: TcpListener, stop: StopSignal, serve: S)
 where
     S: Fn(TcpStream) -> F,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Sends small messages at once.
+/// Disables Nagle's algorithm, so that small messages are sent at once.
 pub(crate) fn set_no_delay(stream: &TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("server: no-delay not set: {error}");
--- a/crates/standins/src/backend/switches.rs
+++ b/crates/standins/src/backend/active_faults.rs
@@ -1,20 +1,20 @@
-//! The faults that are switched on at one backend server.
+//! Active faults of one backend server.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use tokio::sync::watch;
 
-use crate::backend::{BackendFaults, Death};
+use crate::backend::{BackendFaults, CrashMode};
 use crate::http::StopSignal;
 
-/// The faults that are switched on.
+/// Active faults of one backend server.
 #[derive(Debug)]
-pub(crate) struct Switches {
+pub(crate) struct ActiveFaults {
     counters: Mutex<Counters>,
     frozen: watch::Sender<bool>,
-    held: watch::Sender<bool>,
-    death: Death,
+    answers_held: watch::Sender<bool>,
+    crash_mode: CrashMode,
     stop: StopSignal,
 }
 
@@ -26,9 +26,9 @@
     break_next: u32,
 }
 
-impl Switches {
-    /// No fault at all.
-    pub(crate) fn new(death: Death, stop: StopSignal) -> Self {
+impl ActiveFaults {
+    /// No active fault.
+    pub(crate) fn new(crash_mode: CrashMode, stop: StopSignal) -> Self {
         Self {
             counters: Mutex::new(Counters {
                 slow_factor: 1.0,
@@ -37,63 +37,63 @@
                 break_next: 0,
             }),
             frozen: watch::channel(false).0,
-            held: watch::channel(false).0,
-            death,
+            answers_held: watch::channel(false).0,
+            crash_mode,
             stop,
         }
     }
 
-    /// Switches faults.
-    pub(crate) fn switch(&self, faults: &BackendFaults) {
-        self.switch_counters(faults);
+    /// Sets faults.
+    pub(crate) fn set(&self, faults: &BackendFaults) {
+        self.set_counters(faults);
         if let Some(frozen) = faults.frozen {
             self.frozen.send_replace(frozen);
         }
         if let Some(hold) = faults.hold {
-            self.held.send_replace(hold);
+            self.answers_held.send_replace(hold);
         }
         if faults.die == Some(true) {
             self.die();
         }
     }
 
-    /// Works for a time, longer while slow, and not to the end while frozen.
-    pub(crate) async fn work(&self, time: Duration) {
+    /// Simulates work of this duration: longer while slow, and unfinished while frozen.
+    pub(crate) async fn simulate_work(&self, time: Duration) {
         let slow_factor = self.lock().slow_factor;
         let wait = time.mul_f64(slow_factor);
-        // A sleep of no time still waits for the timer's next millisecond.
+        // A sleep of zero duration still waits for the timer's next millisecond.
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
         }
-        self.thawed().await;
+        self.until_unfrozen().await;
     }
 
-    /// Waits while frozen.
-    pub(crate) async fn thawed(&self) {
+    /// Waits until the server is not frozen.
+    pub(crate) async fn until_unfrozen(&self) {
         wait_until_off(&self.frozen).await;
     }
 
-    /// Waits while calls are held.
-    pub(crate) async fn released(&self) {
-        wait_until_off(&self.held).await;
+    /// Waits until answers are not held.
+    pub(crate) async fn until_released(&self) {
+        wait_until_off(&self.answers_held).await;
     }
 
-    /// Whether this call shall fail.
+    /// Whether the current call fails; uses up one of the failures that were set.
     pub(crate) fn take_failure(&self) -> bool {
-        take(&mut self.lock().fail_next)
+        decrement(&mut self.lock().fail_next)
     }
 
-    /// Whether this order shall fail.
+    /// Whether the current order fails; uses up one of the failures that were set.
     pub(crate) fn take_order_failure(&self) -> bool {
-        take(&mut self.lock().fail_orders)
+        decrement(&mut self.lock().fail_orders)
     }
 
-    /// Whether this answer shall break off.
+    /// Whether the current answer is cut off; uses up one of the breaks that were set.
     pub(crate) fn take_break(&self) -> bool {
-        take(&mut self.lock().break_next)
+        decrement(&mut self.lock().break_next)
     }
 
-    fn switch_counters(&self, faults: &BackendFaults) {
+    fn set_counters(&self, faults: &BackendFaults) {
         let mut counters = self.lock();
         if let Some(slow_factor) = faults.slow_factor {
             counters.slow_factor = slow_factor.max(0.0);
@@ -111,22 +111,22 @@
 
     fn die(&self) {
         log::info!("backend: dies as told");
-        match self.death {
-            Death::StopServer => self.stop.stop(),
-            Death::ExitProcess => std::process::exit(Death::EXIT_CODE),
+        match self.crash_mode {
+            CrashMode::StopServer => self.stop.stop(),
+            CrashMode::ExitProcess => std::process::exit(CrashMode::EXIT_CODE),
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, Counters> {
-        // Nothing panics while it holds the lock half-way through a change.
+        // No code panics in the middle of a change, so a poisoned lock guards consistent state.
         self.counters.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn take(count: &mut u32) -> bool {
-    let taken = *count > 0;
-    *count -= u32::from(taken);
-    taken
+fn decrement(count: &mut u32) -> bool {
+    let is_positive = *count > 0;
+    *count -= u32::from(is_positive);
+    is_positive
 }
 
 async fn wait_until_off(switch: &watch::Sender<bool>) {
--- a/crates/standins/src/backend/call_headers.rs
+++ b/crates/standins/src/backend/call_headers.rs
@@ -1,4 +1,4 @@
-//! The headers that come with a call.
+//! Headers of a call.
 
 use std::str::FromStr;
 
@@ -10,38 +10,38 @@
 use crate::backend::CallId;
 
 quick_error! {
-    /// Headers that cannot be read.
+    /// Headers of a call that are missing or invalid.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    pub enum InvalidHeaders {
+    pub enum InvalidCallHeaders {
         /// The call has no id.
         NoCallId {
             display("x-call-id is missing")
         }
-        /// A header holds what it may not.
+        /// A header's value cannot be parsed.
         Unreadable(name: &'static str) {
             display("{name} cannot be read")
         }
     }
 }
 
-/// The headers that come with a call.
+/// Parsed headers of a call.
 #[derive(Debug, Clone)]
 pub(crate) struct CallHeaders {
-    /// Identity of the call.
+    /// Id of the call.
     pub(crate) call_id: CallId,
-    /// Organisation that the call works for, if told.
+    /// Organisation of the call, if stated.
     pub(crate) organisation: Option<OrganisationId>,
-    /// Class of the organisation, if told.
+    /// Class of the organisation, if stated.
     pub(crate) class: Option<Class>,
-    /// Higher goes first; 0 unless told.
+    /// Priority, the highest first; 0 by default.
     pub(crate) priority: i64,
-    /// Tokens that the caller has already; 0 unless told.
+    /// Tokens that the caller already has; 0 by default.
     pub(crate) resume_token: u32,
 }
 
 impl CallHeaders {
-    /// Reads the headers of a call.
-    pub(crate) fn read(headers: &HeaderMap) -> Result<Self, InvalidHeaders> {
+    /// Parses the headers of a call.
+    pub(crate) fn parse(headers: &HeaderMap) -> Result<Self, InvalidCallHeaders> {
         Ok(Self {
             call_id: call_id(headers)?,
             organisation: optional(headers, "x-organisation")?,
@@ -52,19 +52,19 @@
     }
 }
 
-fn call_id(headers: &HeaderMap) -> Result<CallId, InvalidHeaders> {
+fn call_id(headers: &HeaderMap) -> Result<CallId, InvalidCallHeaders> {
     let id: Option<String> = optional(headers, "x-call-id")?;
-    id.map(CallId::new).ok_or(InvalidHeaders::NoCallId)
+    id.map(CallId::new).ok_or(InvalidCallHeaders::NoCallId)
 }
 
 fn optional<T: FromStr>(
     headers: &HeaderMap,
     name: &'static str,
-) -> Result<Option<T>, InvalidHeaders> {
+) -> Result<Option<T>, InvalidCallHeaders> {
     let Some(header) = headers.get(name) else {
         return Ok(None);
     };
     let text = header.to_str().ok();
     let parsed = text.and_then(|text| text.parse().ok());
-    parsed.map(Some).ok_or(InvalidHeaders::Unreadable(name))
+    parsed.map(Some).ok_or(InvalidCallHeaders::Unreadable(name))
 }
--- a/crates/standins/src/backend/call_id.rs
+++ b/crates/standins/src/backend/call_id.rs
@@ -1,16 +1,16 @@
-//! Identity of a call, as the caller of a backend server names it.
+//! Id of a call, chosen by the caller of a backend server.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// What `x-call-id` says; the backend server reads no meaning into it.
+/// Value of `x-call-id`, opaque to the backend server.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct CallId(String);
 
 impl CallId {
-    /// Takes a call's id as it came.
+    /// An id with this text, unchecked.
     pub fn new(id: impl Into<String>) -> Self {
         Self(id.into())
     }
--- a/crates/standins/src/backend/digest.rs
+++ b/crates/standins/src/backend/digest.rs
@@ -12,13 +12,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Digest([u8; DIGEST_BYTES]);
 
-/// Digests a body.
+/// Computes the digest of a body.
 pub(crate) fn digest(body: &[u8]) -> Digest {
     Digest(Sha256::digest(body).into())
 }
 
 impl Digest {
-    /// The byte at a position, counted round and round.
+    /// The byte at a position, which wraps around at the digest's length.
     pub(crate) fn byte(&self, position: u32) -> u8 {
         let position = usize::try_from(position).unwrap_or_default();
         self.0[position % DIGEST_BYTES]
--- a/crates/standins/src/bin/standin-engine.rs
+++ b/crates/standins/src/bin/standin-engine.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use amaranthscale_standins::backend::Death;
+use amaranthscale_standins::backend::CrashMode;
 use amaranthscale_standins::command::{option, run, standin_command, value};
 use amaranthscale_standins::engine::{Engine, EngineSettings};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
@@ -50,7 +50,7 @@
         cache_event_lag_ms: or("cache-event-lag-ms", default.cache_event_lag_ms),
         cache_event_gap_every: or("cache-event-gap-every", default.cache_event_gap_every),
         honours_fence: !matches.get_flag("ignores-fence"),
-        death: Death::ExitProcess,
+        crash_mode: CrashMode::ExitProcess,
     }
 }
 
--- a/crates/standins/src/bin/standin-service.rs
+++ b/crates/standins/src/bin/standin-service.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use amaranthscale_standins::backend::Death;
+use amaranthscale_standins::backend::CrashMode;
 use amaranthscale_standins::command::{option, run, standin_command, value};
 use amaranthscale_standins::service::{Service, ServiceSettings};
 use clap::{ArgMatches, Command, value_parser};
@@ -24,6 +24,6 @@
         listen: value(matches, "listen").unwrap_or(default.listen),
         name: value(matches, "name").unwrap_or(default.name),
         service_ms: value(matches, "service-ms").unwrap_or(default.service_ms),
-        death: Death::ExitProcess,
+        crash_mode: CrashMode::ExitProcess,
     }
 }
--- a/crates/standins/src/command.rs
+++ b/crates/standins/src/command.rs
@@ -1,4 +1,4 @@
-//! What the programs of the stand-ins share: options, the line that says ready, the end.
+//! Options, ready line and shutdown that the stand-in programs share.
 
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -10,10 +10,10 @@
 
 use crate::http::Running;
 
-/// Where a stand-in listens unless told otherwise: any free port of this machine.
+/// Default listening address: any free loopback port.
 const DEFAULT_LISTEN: &str = "127.0.0.1:0";
 
-/// A command that takes `--listen`.
+/// A command with the `--listen` option.
 #[must_use]
 pub fn standin_command(name: &'static str, about: &'static str) -> Command {
     let listen = option("listen", "ADDRESS", value_parser!(SocketAddr))
@@ -35,13 +35,13 @@
     matches.get_one::<T>(name).cloned()
 }
 
-/// Runs a stand-in as a program: says where it listens, then serves until stopped or SIGTERM.
+/// Runs a stand-in as a program: prints its address, then serves until it stops or SIGTERM.
 #[must_use]
 pub fn run(start: impl Future<Output = io::Result<Running>>) -> ExitCode {
     run_until_terminated(serve(start))
 }
 
-/// Runs a program's main task until it ends, or SIGTERM or an interrupt comes.
+/// Runs a program's main task until it ends, or SIGTERM or an interrupt arrives.
 #[must_use]
 pub fn run_until_terminated(main: impl Future<Output = io::Result<()>>) -> ExitCode {
     env_logger::init();
@@ -55,7 +55,7 @@
     }
 }
 
-/// Prints a ready line at once, for whoever reads it through a pipe.
+/// Prints a ready line and flushes it, so that a reader of a pipe gets it at once.
 pub fn print_ready(line: impl AsRef<str>) -> io::Result<()> {
     let mut stdout = io::stdout();
     writeln!(stdout, "{}", line.as_ref())?;
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,13 +1,13 @@
-//! A model engine that batches continuously.
+//! Stand-in of a model engine with continuous batching.
 //!
-//! Up to a number of sequences run together; each further one slows the token step of all. Who
-//! finds no slot waits, by priority and then in order of arrival. A call is recorded when it gets
-//! its slot, and cancelled when its connection drops. While frozen nothing progresses, but
-//! `GET /executions`, `GET /orders` and the switches still answer, for the tests' sake.
+//! A limited number of sequences run together; each further one slows the token step of all. A
+//! call that finds no free slot waits, by priority and then in order of arrival. A call is
+//! recorded when it gets its slot, and cancelled when its connection drops. While frozen no work
+//! progresses, but tests can still use `GET /executions`, `GET /orders` and set faults.
 
 mod cache_event;
 mod cache_event_log;
-mod cancellations;
+mod cancellation_registry;
 mod engine_execution;
 mod engine_load;
 mod engine_order;
@@ -17,7 +17,7 @@
 mod execution_log;
 mod generation;
 mod operation;
-mod order_book;
+mod order_log;
 mod prefix_cache;
 mod prompt;
 mod slot_queue;
--- a/crates/standins/src/engine/cache_event.rs
+++ b/crates/standins/src/engine/cache_event.rs
@@ -1,4 +1,4 @@
-//! What an engine publishes of its prefix cache.
+//! Events that an engine publishes about its prefix cache.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,14 +8,14 @@
 pub enum CacheEventKind {
     /// It was cached.
     Stored,
-    /// It gave way to others.
+    /// It was evicted in favour of others.
     Evicted,
 }
 
 /// An event of the prefix cache.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event, from 1; a number left out is a gap.
+    /// Sequence number of the event, from 1; a missing number is a gap.
     pub number: u64,
     /// What happened.
     pub kind: CacheEventKind,
--- a/crates/standins/src/engine/cache_event_log.rs
+++ b/crates/standins/src/engine/cache_event_log.rs
@@ -1,4 +1,4 @@
-//! Cache events, published late and with gaps.
+//! Log of cache events, published with a delay and with gaps.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 
 use crate::engine::{CacheEvent, CacheEventKind};
 
-/// Events kept for late readers; older ones become a gap.
-const KEPT_EVENTS: usize = 4096;
+/// Maximum number of retained events; for a reader that is behind, older ones are a gap.
+const MAX_EVENTS: usize = 4096;
 
-/// Cache events, published late and with gaps.
+/// Log of cache events, published with a delay and with gaps.
 #[derive(Debug)]
 pub(crate) struct CacheEventLog {
     lag: Duration,
@@ -20,7 +20,7 @@
 }
 
 impl CacheEventLog {
-    /// Publishes after `lag`, but never each `gap_every`th event; 0 publishes all.
+    /// Publishes events after `lag`, except each `gap_every`th one; 0 publishes all.
     pub(crate) fn new(lag: Duration, gap_every: u64) -> Self {
         Self {
             lag,
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Notes an event.
-    pub(crate) fn note(&mut self, now: Instant, kind: CacheEventKind, prefix: &str) {
+    /// Records an event.
+    pub(crate) fn record(&mut self, now: Instant, kind: CacheEventKind, prefix: &str) {
         self.last_number += 1;
         if self.gap_every > 0 && self.last_number.is_multiple_of(self.gap_every) {
             return;
@@ -42,15 +42,18 @@
             prefix: prefix.to_owned(),
         };
         self.events.push_back((now, event));
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
 
     /// Published events with numbers above `after`.
     pub(crate) fn after(&self, now: Instant, after: u64) -> Vec<CacheEvent> {
-        let is_public = |noted: &Instant| now.saturating_duration_since(*noted) >= self.lag;
-        let public = self.events.iter().filter(|(noted, _)| is_public(noted));
+        let is_public = |recorded: &Instant| now.saturating_duration_since(*recorded) >= self.lag;
+        let public = self
+            .events
+            .iter()
+            .filter(|(recorded, _)| is_public(recorded));
         let events = public.map(|(_, event)| event);
         let newer = events.filter(|event| event.number > after);
         newer.cloned().collect()
--- a/crates/standins/src/engine/cancellations.rs
+++ b/crates/standins/src/engine/cancellation_registry.rs
@@ -1,4 +1,4 @@
-//! Calls that can be cancelled by their id.
+//! Registry of calls that can be cancelled by their id.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,42 +7,42 @@
 
 use crate::backend::CallId;
 
-/// Calls that can be cancelled by their id.
+/// Registry of calls that can be cancelled by their id.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Cancellations {
+pub(crate) struct CancellationRegistry {
     calls: Arc<Mutex<HashMap<CallId, Vec<watch::Sender<bool>>>>>,
 }
 
-/// Tells a call that it was cancelled.
+/// Notifies a call of its cancellation; dropping it removes the call from the registry.
 #[derive(Debug)]
 pub(crate) struct Cancellation {
     cancelled: watch::Receiver<bool>,
-    // Dropped before the entry below, which forgets calls that nobody listens for.
-    entry: Entry,
+    // Dropped before `entry`, whose drop removes the calls without a receiver.
+    entry: RegisteredCall,
 }
 
 #[derive(Debug)]
-struct Entry {
-    calls: Cancellations,
+struct RegisteredCall {
+    calls: CancellationRegistry,
     call_id: CallId,
 }
 
-impl Cancellations {
-    /// Makes a call one that can be cancelled, until the answer is dropped.
+impl CancellationRegistry {
+    /// Makes a call cancellable until the returned value is dropped.
     pub(crate) fn register(&self, call_id: &CallId) -> Cancellation {
         let (cancel, cancelled) = watch::channel(false);
         let mut calls = self.lock();
         calls.entry(call_id.clone()).or_default().push(cancel);
         Cancellation {
             cancelled,
-            entry: Entry {
+            entry: RegisteredCall {
                 calls: self.clone(),
                 call_id: call_id.clone(),
             },
         }
     }
 
-    /// Cancels all calls with this id; tells how many.
+    /// Cancels all calls with this id; returns their number.
     pub(crate) fn cancel(&self, call_id: &CallId) -> usize {
         let calls = self.lock();
         let with_id = calls.get(call_id).map_or(&[][..], Vec::as_slice);
@@ -51,7 +51,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<CallId, Vec<watch::Sender<bool>>>> {
-        // Nothing panics while it holds the lock half-way through a change.
+        // No code panics in the middle of a change, so a poisoned lock guards consistent state.
         self.calls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -67,7 +67,7 @@
     }
 }
 
-impl Drop for Entry {
+impl Drop for RegisteredCall {
     fn drop(&mut self) {
         let mut calls = self.calls.lock();
         if let Some(with_id) = calls.get_mut(&self.call_id) {
--- a/crates/standins/src/engine/engine_load.rs
+++ b/crates/standins/src/engine/engine_load.rs
@@ -1,14 +1,14 @@
-//! What an engine reports of its load.
+//! Load that an engine reports.
 
 use serde::{Deserialize, Serialize};
 
-/// Load as it stood a while ago.
+/// Load of an engine some time ago.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Sequences that ran.
+    /// Running sequences.
     pub running: u32,
-    /// Calls that waited.
+    /// Waiting calls.
     pub waiting: u32,
-    /// How long ago that was, in milliseconds.
+    /// Age of these numbers, in milliseconds.
     pub age_ms: u64,
 }
--- a/crates/standins/src/engine/engine_order.rs
+++ b/crates/standins/src/engine/engine_order.rs
@@ -3,7 +3,7 @@
 use amaranthscale_core::id::{FencingNumber, ModelId};
 use serde::{Deserialize, Serialize};
 
-/// What an engine does within a pair that splits prefill and decode.
+/// Role of an engine within a pair that splits prefill and decode.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
@@ -16,7 +16,7 @@
     Both,
 }
 
-/// An order.
+/// An order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineOrder {
@@ -31,20 +31,20 @@
 /// An order with its fencing number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencedOrder {
-    /// Fencing number of whoever gives the order.
+    /// Fencing number of the sender.
     pub fence: FencingNumber,
     /// The order itself.
     pub order: EngineOrder,
 }
 
-/// An order as the engine remembers it.
+/// Record of an order that the engine received.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRecord {
-    /// Fencing number that came with it.
+    /// Fencing number of its sender.
     pub fence: FencingNumber,
     /// The order itself.
     pub order: EngineOrder,
-    /// Whether it was applied; else its fencing number was too old.
+    /// Whether it was applied; if not, its fencing number was too old.
     pub applied: bool,
 }
 
@@ -53,19 +53,19 @@
 pub struct OrderReply {
     /// Whether it was applied.
     pub applied: bool,
-    /// Highest fencing number seen so far.
+    /// Highest fencing number received so far.
     pub highest_fence: FencingNumber,
 }
 
-/// What orders have made of an engine.
+/// State of an engine that orders change.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderState {
-    /// Highest fencing number seen so far.
+    /// Highest fencing number received so far.
     pub highest_fence: FencingNumber,
-    /// Models loaded, in order of their names.
+    /// Loaded models, ordered by name.
     pub models: Vec<ModelId>,
-    /// Present role.
+    /// Current role.
     pub role: EngineRole,
-    /// All orders, also the refused ones, in order of arrival.
+    /// All orders, refused ones included, in order of arrival.
     pub history: Vec<OrderRecord>,
 }
--- a/crates/standins/src/engine/engine_routes.rs
+++ b/crates/standins/src/engine/engine_routes.rs
@@ -7,9 +7,9 @@
 use serde::Serialize;
 
 use crate::backend::{BackendFaults, CallHeaders, CallId, Digest, digest};
-use crate::engine::cancellations::Cancellation;
+use crate::engine::cancellation_registry::Cancellation;
 use crate::engine::engine_state::EngineState;
-use crate::engine::execution_log::OpenExecution;
+use crate::engine::execution_log::RunningExecution;
 use crate::engine::generation::Generation;
 use crate::engine::prompt::Prompt;
 use crate::engine::{FencedOrder, Operation};
@@ -22,7 +22,7 @@
 /// Paths of cancellations.
 const CANCEL_PREFIX: &str = "/cancel/";
 
-/// Answer of an operation that generates nothing.
+/// Answer of an operation that generates no tokens.
 #[derive(Debug, Serialize)]
 struct OperationReply<'a> {
     operation: Operation,
@@ -35,14 +35,14 @@
 #[derive(Debug, Serialize)]
 struct CancelledReply {
     cancelled: bool,
-    /// Whether it had a slot already.
+    /// Whether it already had a slot.
     started: bool,
 }
 
 /// Answer to a cancellation.
 #[derive(Debug, Serialize)]
 struct CancelReply {
-    /// Calls that were cancelled.
+    /// Number of cancelled calls.
     cancelled: usize,
 }
 
@@ -50,17 +50,17 @@
 pub(crate) async fn handle(state: Arc<EngineState>, request: Request<Bytes>) -> Handled {
     let path = request.uri().path();
     match (request.method(), path) {
-        (&Method::POST, "/admin/faults") => return Ok(switch_faults(&state, request.body())),
+        (&Method::POST, "/admin/faults") => return Ok(set_faults(&state, request.body())),
         (&Method::GET, "/executions") => {
             return Ok(json(StatusCode::OK, &state.executions.executions()));
         }
         (&Method::GET, "/orders") => return Ok(json(StatusCode::OK, state.orders().state())),
-        _ => state.switches.thawed().await,
+        _ => state.faults.until_unfrozen().await,
     }
     match (request.method(), path) {
         (&Method::GET, "/load") => Ok(json(StatusCode::OK, &state.slots.load())),
         (&Method::GET, "/cache/events") => Ok(cache_events(&state, &request)),
-        (&Method::POST, "/orders") => Ok(order(&state, request.body())),
+        (&Method::POST, "/orders") => Ok(receive_order(&state, request.body())),
         (&Method::POST, path) if path.starts_with(CANCEL_PREFIX) => Ok(cancel(&state, path)),
         (&Method::POST, path) if path.starts_with(RUN_PREFIX) => Ok(run(state, &request).await),
         _ => Ok(status(StatusCode::NOT_FOUND)),
@@ -72,7 +72,7 @@
     let Ok(operation) = name.parse::<Operation>() else {
         return status(StatusCode::NOT_FOUND);
     };
-    match CallHeaders::read(request.headers()) {
+    match CallHeaders::parse(request.headers()) {
         Ok(headers) => run_call(state, operation, headers, request.body()).await,
         Err(error) => plain(StatusCode::BAD_REQUEST, error.to_string()),
     }
@@ -91,7 +91,7 @@
         slot = state.slots.acquire(headers.priority) => slot,
     };
     let execution = state.executions.start(&headers, operation);
-    if state.switches.take_failure() {
+    if state.faults.take_failure() {
         return status(StatusCode::INTERNAL_SERVER_ERROR);
     }
     let digest = digest(body);
@@ -106,28 +106,28 @@
                 digest.byte(1)
             ),
         };
-        return run_whole(&state, &execution, cancellation, &reply).await;
+        return run_to_completion(&state, &execution, cancellation, &reply).await;
     }
     let generation = Generation {
         state,
         slot,
         execution,
-        prompt: Prompt::read(body),
+        prompt: Prompt::parse(body),
         digest,
         resume_token: headers.resume_token,
     };
     generation.start(cancellation)
 }
 
-async fn run_whole(
+async fn run_to_completion(
     state: &EngineState,
-    execution: &OpenExecution,
+    execution: &RunningExecution,
     mut cancellation: Cancellation,
     reply: &OperationReply<'_>,
 ) -> Answer {
     tokio::select! {
         () = cancellation.cancelled() => cancelled(true),
-        () = state.work_base() => {
+        () = state.run_operation() => {
             execution.finish();
             json(StatusCode::OK, reply)
         }
@@ -156,15 +156,15 @@
     json(StatusCode::OK, &state.cache_events(after))
 }
 
-fn order(state: &EngineState, body: &Bytes) -> Answer {
+fn receive_order(state: &EngineState, body: &Bytes) -> Answer {
     let order: FencedOrder = match json_body(body) {
         Ok(order) => order,
         Err(answer) => return *answer,
     };
-    if state.switches.take_order_failure() {
+    if state.faults.take_order_failure() {
         return status(StatusCode::INTERNAL_SERVER_ERROR);
     }
-    let reply = state.orders().take(order);
+    let reply = state.orders().receive(order);
     let status = if reply.applied {
         StatusCode::OK
     } else {
@@ -173,11 +173,11 @@
     json(status, &reply)
 }
 
-fn switch_faults(state: &EngineState, body: &Bytes) -> Answer {
+fn set_faults(state: &EngineState, body: &Bytes) -> Answer {
     match json_body::<BackendFaults>(body) {
         Ok(faults) => {
             log::info!("engine: faults switched: {faults:?}");
-            state.switches.switch(&faults);
+            state.faults.set(&faults);
             no_content()
         }
         Err(answer) => *answer,
--- a/crates/standins/src/engine/engine_state.rs
+++ b/crates/standins/src/engine/engine_state.rs
@@ -1,34 +1,34 @@
-//! What an engine holds.
+//! State of an engine.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use crate::backend::Switches;
+use crate::backend::ActiveFaults;
 use crate::engine::cache_event_log::CacheEventLog;
-use crate::engine::cancellations::Cancellations;
+use crate::engine::cancellation_registry::CancellationRegistry;
 use crate::engine::execution_log::ExecutionLog;
-use crate::engine::order_book::OrderBook;
+use crate::engine::order_log::OrderLog;
 use crate::engine::prefix_cache::PrefixCache;
 use crate::engine::prompt::Prompt;
 use crate::engine::slot_queue::{Slot, SlotQueue};
 use crate::engine::{CacheEvent, EngineSettings};
 use crate::http::StopSignal;
 
-/// Bytes of prompt that the prefill time is given for.
+/// Bytes of prompt per unit of the prefill time, a KiB.
 const PREFILL_UNIT_BYTES: f64 = 1024.0;
 
-/// What an engine holds.
+/// State of an engine.
 #[derive(Debug)]
 pub(crate) struct EngineState {
     pub(crate) slots: SlotQueue,
     pub(crate) executions: ExecutionLog,
-    pub(crate) cancellations: Cancellations,
-    pub(crate) switches: Switches,
+    pub(crate) cancellations: CancellationRegistry,
+    pub(crate) faults: ActiveFaults,
     settings: EngineSettings,
     cache: Mutex<PrefixCache>,
-    orders: Mutex<OrderBook>,
+    orders: Mutex<OrderLog>,
 }
 
 impl EngineState {
@@ -41,35 +41,37 @@
         Self {
             slots: SlotQueue::new(settings.slots, load_lag),
             executions: ExecutionLog::default(),
-            cancellations: Cancellations::default(),
-            switches: Switches::new(settings.death, stop),
+            cancellations: CancellationRegistry::default(),
+            faults: ActiveFaults::new(settings.crash_mode, stop),
             settings,
             cache: Mutex::new(cache),
-            orders: Mutex::new(OrderBook::new(settings.honours_fence)),
+            orders: Mutex::new(OrderLog::new(settings.honours_fence)),
         }
     }
 
-    /// Works through an operation that generates nothing.
-    pub(crate) async fn work_base(&self) {
+    /// Simulates an operation that generates no tokens.
+    pub(crate) async fn run_operation(&self) {
         let base = Duration::from_millis(self.settings.base_ms);
-        self.switches.work(base).await;
+        self.faults.simulate_work(base).await;
     }
 
-    /// Reads a prompt, faster if its prefix is cached.
+    /// Simulates the prefill of a prompt, faster if its prefix is cached.
     pub(crate) async fn prefill(&self, prompt: &Prompt) {
         let length_bytes = u32::try_from(prompt.length_bytes).unwrap_or(u32::MAX);
         let units = f64::from(length_bytes) / PREFILL_UNIT_BYTES;
         let whole = Duration::from_millis(self.settings.prefill_ms_per_kib).mul_f64(units);
         let share = self.prefill_share(prompt);
-        self.switches.work(whole.mul_f64(share)).await;
+        self.faults.simulate_work(whole.mul_f64(share)).await;
     }
 
-    /// Generates one token, the slower the more sequences run.
-    pub(crate) async fn step(&self, slot: &Slot) {
+    /// Simulates the generation of one token, slower with each further running sequence.
+    pub(crate) async fn token_step(&self, slot: &Slot) {
         let others = slot.batch_size().saturating_sub(1);
         let penalty = self.settings.batch_penalty * f64::from(others);
         let alone = Duration::from_millis(self.settings.token_ms);
-        self.switches.work(alone.mul_f64(1.0 + penalty)).await;
+        self.faults
+            .simulate_work(alone.mul_f64(1.0 + penalty))
+            .await;
     }
 
     /// Cache events published so far with numbers above `after`.
@@ -77,8 +79,8 @@
         lock(&self.cache).events().after(Instant::now(), after)
     }
 
-    /// The orders, for a moment.
-    pub(crate) fn orders(&self) -> MutexGuard<'_, OrderBook> {
+    /// Locks the orders.
+    pub(crate) fn orders(&self) -> MutexGuard<'_, OrderLog> {
         lock(&self.orders)
     }
 
@@ -96,6 +98,6 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // Nothing panics while it holds one of these locks half-way through a change.
+    // No code panics in the middle of a change, so a poisoned lock guards consistent state.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/standins/src/engine/execution_log.rs
+++ b/crates/standins/src/engine/execution_log.rs
@@ -1,4 +1,4 @@
-//! All executions of an engine.
+//! Log of an engine's executions.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -13,9 +13,9 @@
     executions: Arc<Mutex<Vec<EngineExecution>>>,
 }
 
-/// One execution that goes on.
+/// One execution in progress.
 #[derive(Debug)]
-pub(crate) struct OpenExecution {
+pub(crate) struct RunningExecution {
     log: ExecutionLog,
     index: usize,
     started: Instant,
@@ -23,7 +23,7 @@
 
 impl ExecutionLog {
     /// Records the start of an execution.
-    pub(crate) fn start(&self, headers: &CallHeaders, operation: Operation) -> OpenExecution {
+    pub(crate) fn start(&self, headers: &CallHeaders, operation: Operation) -> RunningExecution {
         let mut executions = self.lock();
         let index = executions.len();
         executions.push(EngineExecution {
@@ -36,7 +36,7 @@
             server_ms: 0,
             finished: false,
         });
-        OpenExecution {
+        RunningExecution {
             log: self.clone(),
             index,
             started: Instant::now(),
@@ -49,35 +49,35 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<EngineExecution>> {
-        // Nothing panics while it holds the lock half-way through a change.
+        // No code panics in the middle of a change, so a poisoned lock guards consistent state.
         self.executions
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl OpenExecution {
+impl RunningExecution {
     /// Counts one more token.
     pub(crate) fn count_token(&self) {
-        self.change(|execution| execution.tokens += 1);
+        self.update(|execution| execution.tokens += 1);
     }
 
-    /// Records that it came to its end.
+    /// Records that it completed.
     pub(crate) fn finish(&self) {
-        self.change(|execution| execution.finished = true);
+        self.update(|execution| execution.finished = true);
     }
 
-    fn change(&self, change: impl FnOnce(&mut EngineExecution)) {
+    fn update(&self, update: impl FnOnce(&mut EngineExecution)) {
         let server_ms = u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX);
         if let Some(execution) = self.log.lock().get_mut(self.index) {
             execution.server_ms = server_ms;
-            change(execution);
+            update(execution);
         }
     }
 }
 
-impl Drop for OpenExecution {
+impl Drop for RunningExecution {
     fn drop(&mut self) {
-        self.change(|_| {});
+        self.update(|_| {});
     }
 }
--- a/crates/standins/src/engine/generation.rs
+++ b/crates/standins/src/engine/generation.rs
@@ -1,4 +1,4 @@
-//! Generates tokens, one line each.
+//! Generates tokens and streams them, one line each.
 
 use std::sync::Arc;
 
@@ -9,27 +9,27 @@
 use tokio::sync::mpsc;
 
 use crate::backend::Digest;
-use crate::engine::cancellations::Cancellation;
+use crate::engine::cancellation_registry::Cancellation;
 use crate::engine::engine_state::EngineState;
-use crate::engine::execution_log::OpenExecution;
+use crate::engine::execution_log::RunningExecution;
 use crate::engine::prompt::Prompt;
 use crate::engine::slot_queue::Slot;
 use crate::http::{Answer, Chunk, ReplyBody, break_off};
 
-/// Lines that may wait for a slow reader before generating pauses.
-const WAITING_LINES: usize = 64;
+/// Lines buffered for a slow reader before generation pauses.
+const MAX_BUFFERED_LINES: usize = 64;
 /// Words that tokens are drawn from.
 const WORDS: [&str; 8] = [
     "beet", "truck", "yard", "grower", "letter", "case", "unit", "family",
 ];
 
-/// One sequence, with all that it holds while it runs.
+/// A running sequence, with the resources that it uses.
 #[derive(Debug)]
 pub(crate) struct Generation {
     pub(crate) state: Arc<EngineState>,
     /// Held until the sequence ends.
     pub(crate) slot: Slot,
-    pub(crate) execution: OpenExecution,
+    pub(crate) execution: RunningExecution,
     pub(crate) prompt: Prompt,
     pub(crate) digest: Digest,
     pub(crate) resume_token: u32,
@@ -53,9 +53,9 @@
 }
 
 impl Generation {
-    /// Starts to generate; the answer's lines come as they are generated.
+    /// Starts generation; the answer streams the lines as they are generated.
     pub(crate) fn start(self, cancellation: Cancellation) -> Answer {
-        let (lines, body) = mpsc::channel(WAITING_LINES);
+        let (lines, body) = mpsc::channel(MAX_BUFFERED_LINES);
         tokio::spawn(self.run(cancellation, lines));
         let mut answer = Response::new(ReplyBody::Chunks(body));
         let content_type = HeaderValue::from_static("application/x-ndjson");
@@ -63,7 +63,7 @@
         answer
     }
 
-    /// Runs until the end, a cancellation, or the loss of the reader.
+    /// Runs until completion, a cancellation, or the reader's disconnection.
     async fn run(self, mut cancellation: Cancellation, lines: mpsc::Sender<Chunk>) {
         let was_cancelled = tokio::select! {
             () = self.generate(&lines) => false,
@@ -79,7 +79,7 @@
     async fn generate(&self, lines: &mpsc::Sender<Chunk>) {
         self.state.prefill(&self.prompt).await;
         let end = self.prompt.max_tokens;
-        if self.state.switches.take_break() {
+        if self.state.faults.take_break() {
             let half = self.resume_token + end.saturating_sub(self.resume_token) / 2;
             self.generate_tokens(half, lines).await;
             break_off(lines).await;
@@ -92,7 +92,7 @@
 
     async fn generate_tokens(&self, end: u32, lines: &mpsc::Sender<Chunk>) {
         for token in self.resume_token..end {
-            self.state.step(&self.slot).await;
+            self.state.token_step(&self.slot).await;
             self.execution.count_token();
             send_line(lines, &self.token_line(token)).await;
         }
--- a/crates/standins/src/engine/operation.rs
+++ b/crates/standins/src/engine/operation.rs
@@ -1,4 +1,4 @@
-//! What an engine can be asked to run.
+//! Operations of an engine.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,17 +7,17 @@
 use serde::{Deserialize, Serialize};
 
 quick_error! {
-    /// A text that names no operation.
+    /// A text that is not the name of an operation.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum UnknownOperation {
-        /// None of the operations.
+        /// The text names no operation.
         Unknown(text: String) {
             display("operation {text:?} is unknown")
         }
     }
 }
 
-/// What an engine can be asked to run.
+/// Operation of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Operation {
@@ -25,7 +25,7 @@
     Encoding,
     /// Finds documents.
     Retrieval,
-    /// Orders documents.
+    /// Ranks documents.
     Reranking,
     /// Generates text, token by token.
     Generation,
@@ -33,7 +33,7 @@
     Summarise,
     /// Generates a letter.
     Draft,
-    /// Names flags.
+    /// Assigns flags.
     Tag,
 }
 
@@ -49,7 +49,7 @@
         Self::Tag,
     ];
 
-    /// Whether it answers token by token.
+    /// Whether its answer is streamed token by token.
     #[must_use]
     pub const fn generates(self) -> bool {
         matches!(self, Self::Generation | Self::Summarise | Self::Draft)
--- a/crates/standins/src/engine/order_book.rs
+++ b/crates/standins/src/engine/order_log.rs
@@ -1,17 +1,17 @@
-//! Takes orders, and remembers them.
+//! Applies orders and records them.
 
 use amaranthscale_core::id::ModelId;
 
 use crate::engine::{EngineOrder, FencedOrder, OrderRecord, OrderReply, OrderState};
 
-/// Takes orders, and remembers them.
+/// Applies orders and records them.
 #[derive(Debug)]
-pub(crate) struct OrderBook {
+pub(crate) struct OrderLog {
     honours_fence: bool,
     state: OrderState,
 }
 
-impl OrderBook {
+impl OrderLog {
     /// An engine without models.
     pub(crate) fn new(honours_fence: bool) -> Self {
         Self {
@@ -20,8 +20,8 @@
         }
     }
 
-    /// Takes an order, or refuses it for its old fencing number.
-    pub(crate) fn take(&mut self, fenced: FencedOrder) -> OrderReply {
+    /// Applies an order, or refuses it if its fencing number is old.
+    pub(crate) fn receive(&mut self, fenced: FencedOrder) -> OrderReply {
         let is_old = fenced.fence < self.state.highest_fence;
         let applied = !(self.honours_fence && is_old);
         if applied {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// What orders have made of the engine.
+    /// State that the orders have led to.
     pub(crate) fn state(&self) -> &OrderState {
         &self.state
     }
--- a/crates/standins/src/engine/prefix_cache.rs
+++ b/crates/standins/src/engine/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! Prompt prefixes in limited memory.
+//! LRU cache of prompt prefixes.
 
 use std::collections::VecDeque;
 
@@ -7,12 +7,12 @@
 use crate::engine::CacheEventKind;
 use crate::engine::cache_event_log::CacheEventLog;
 
-/// Prompt prefixes, of which the least recently used gives way.
+/// LRU cache of prompt prefixes with limited memory.
 #[derive(Debug)]
 pub(crate) struct PrefixCache {
     capacity_bytes: usize,
     used_bytes: usize,
-    /// The least recently used first.
+    /// Least recently used first.
     entries: VecDeque<Entry>,
     events: CacheEventLog,
 }
@@ -34,14 +34,15 @@
         }
     }
 
-    /// Uses a prefix; true if it was cached, else it is now, unless it exceeds the whole memory.
+    /// Marks a prefix as used; true if it was cached. If not, it is cached now, unless it exceeds
+    /// the whole memory.
     pub(crate) fn touch(&mut self, now: Instant, prefix: &str, size_bytes: usize) -> bool {
-        if let Some(entry) = self.take(prefix) {
+        if let Some(entry) = self.remove(prefix) {
             self.entries.push_back(entry);
             return true;
         }
         if size_bytes <= self.capacity_bytes {
-            self.make_room(now, size_bytes);
+            self.evict_until_fits(now, size_bytes);
             self.store(now, prefix, size_bytes);
         }
         false
@@ -52,19 +53,19 @@
         &self.events
     }
 
-    fn take(&mut self, prefix: &str) -> Option<Entry> {
+    fn remove(&mut self, prefix: &str) -> Option<Entry> {
         let is_wanted = |entry: &Entry| entry.prefix == prefix;
         let position = self.entries.iter().position(is_wanted)?;
         self.entries.remove(position)
     }
 
-    fn make_room(&mut self, now: Instant, size_bytes: usize) {
+    fn evict_until_fits(&mut self, now: Instant, size_bytes: usize) {
         while self.used_bytes + size_bytes > self.capacity_bytes
             && let Some(evicted) = self.entries.pop_front()
         {
             self.used_bytes -= evicted.size_bytes;
             let prefix = &evicted.prefix;
-            self.events.note(now, CacheEventKind::Evicted, prefix);
+            self.events.record(now, CacheEventKind::Evicted, prefix);
         }
     }
 
@@ -74,6 +75,6 @@
             prefix: prefix.to_owned(),
             size_bytes,
         });
-        self.events.note(now, CacheEventKind::Stored, prefix);
+        self.events.record(now, CacheEventKind::Stored, prefix);
     }
 }
--- a/crates/standins/src/engine/prompt.rs
+++ b/crates/standins/src/engine/prompt.rs
@@ -1,19 +1,19 @@
-//! What an engine reads from a call's body.
+//! Prompt in a call's body.
 
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Tokens to generate unless the body says otherwise.
+/// Default number of tokens to generate.
 const DEFAULT_MAX_TOKENS: u32 = 16;
 
-/// What an engine reads from a call's body.
+/// Prompt in a call's body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Prompt {
-    /// Tokens of the whole answer.
+    /// Number of tokens of the whole answer.
     pub(crate) max_tokens: u32,
     /// Key of the prompt's prefix, under which the engine caches it.
     pub(crate) prefix: Option<String>,
-    /// Marker that the first token repeats, so that a caller knows the answer for its own.
+    /// Marker that the first token repeats, so that a caller can recognise its own answer.
     pub(crate) marker: Option<String>,
     /// Length of the body.
     pub(crate) length_bytes: usize,
@@ -29,8 +29,8 @@
 }
 
 impl Prompt {
-    /// Reads a body; what is no JSON counts as a prompt without fields.
-    pub(crate) fn read(body: &[u8]) -> Self {
+    /// Parses a body; one that is not JSON counts as a prompt without fields.
+    pub(crate) fn parse(body: &[u8]) -> Self {
         let outer: Fields = serde_json::from_slice(body).unwrap_or_default();
         let inner: Fields = serde_json::from_value(outer.request).unwrap_or_default();
         let max_tokens = outer.max_tokens.or(inner.max_tokens);
--- a/crates/standins/src/engine/slot_queue.rs
+++ b/crates/standins/src/engine/slot_queue.rs
@@ -1,4 +1,4 @@
-//! Slots of the running batch, and the waiting room before them.
+//! Slots of the running batch, and the queue for them.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,76 +8,76 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use crate::Lagging;
+use crate::LaggingValue;
 use crate::engine::EngineLoad;
 
-/// Order in the waiting room: by priority, the highest first, then by arrival.
-type Rank = (Reverse<i64>, u64);
+/// Order in the queue: by priority, the highest first, then by arrival.
+type QueueKey = (Reverse<i64>, u64);
 
-/// Slots of the running batch, and the waiting room before them.
+/// Slots of the running batch, and the queue for them.
 #[derive(Debug, Clone)]
 pub(crate) struct SlotQueue {
-    room: Arc<Mutex<Room>>,
+    state: Arc<Mutex<QueueState>>,
 }
 
-/// A sequence's place in the running batch; dropping it makes room for the next.
+/// A sequence's slot in the running batch; dropping it frees the slot for the next.
 #[derive(Debug)]
 pub(crate) struct Slot {
     queue: SlotQueue,
 }
 
 #[derive(Debug)]
-struct Room {
+struct QueueState {
     slots: u32,
     running: u32,
     arrivals: u64,
-    waiting: BTreeMap<Rank, oneshot::Sender<()>>,
-    load: Lagging<(u32, u32)>,
+    waiting: BTreeMap<QueueKey, oneshot::Sender<()>>,
+    load: LaggingValue<(u32, u32)>,
     load_lag: Duration,
 }
 
-/// A place in the waiting room; dropping it gives up the place.
+/// A waiting call; dropping it before it is granted a slot ends the wait.
 #[derive(Debug)]
-struct Place {
+struct Waiter {
     queue: SlotQueue,
-    rank: Rank,
-    called: oneshot::Receiver<()>,
-    seated: bool,
+    key: QueueKey,
+    granted: oneshot::Receiver<()>,
+    has_slot: bool,
 }
 
 impl SlotQueue {
     /// An idle batch.
     pub(crate) fn new(slots: u32, load_lag: Duration) -> Self {
-        let room = Room {
+        let state = QueueState {
             slots: slots.max(1),
             running: 0,
             arrivals: 0,
             waiting: BTreeMap::new(),
-            load: Lagging::new(Instant::now(), (0, 0)),
+            load: LaggingValue::new(Instant::now(), (0, 0)),
             load_lag,
         };
         Self {
-            room: Arc::new(Mutex::new(room)),
+            state: Arc::new(Mutex::new(state)),
         }
     }
 
-    /// Waits for a slot; giving up the wait gives up the place.
+    /// Waits for a slot; dropping the future leaves the queue.
     pub(crate) async fn acquire(&self, priority: i64) -> Slot {
-        let Some(mut place) = self.enter(priority) else {
+        let Some(mut waiter) = self.acquire_or_enqueue(priority) else {
             return self.slot();
         };
-        // The sender goes only when it calls, so an error cannot come.
-        let _ = (&mut place.called).await;
-        place.seated = true;
+        // The sender is removed only to grant the slot, so this cannot fail.
+        let _ = (&mut waiter.granted).await;
+        waiter.has_slot = true;
         self.slot()
     }
 
-    /// The load, as late as it is reported.
+    /// The load, with the lag of its report.
     pub(crate) fn load(&self) -> EngineLoad {
-        let mut room = self.lock();
-        let lag = room.load_lag;
-        let seen = room.load.get(Instant::now(), lag);
-        let ((running, waiting), age) = seen.unwrap_or_default();
+        let mut state = self.lock();
+        let lag = state.load_lag;
+        let reported = state.load.get(Instant::now(), lag);
+        let ((running, waiting), age) = reported.unwrap_or_default();
         EngineLoad {
             running,
             waiting,
@@ -85,45 +85,45 @@
         }
     }
 
-    /// Takes a free slot, or else a place in the waiting room.
-    fn enter(&self, priority: i64) -> Option<Place> {
-        let mut room = self.lock();
-        if room.running < room.slots {
-            room.running += 1;
-            room.note_load();
+    /// Takes a free slot, or else joins the queue.
+    fn acquire_or_enqueue(&self, priority: i64) -> Option<Waiter> {
+        let mut state = self.lock();
+        if state.running < state.slots {
+            state.running += 1;
+            state.record_load();
             return None;
         }
-        let rank = (Reverse(priority), room.arrivals);
-        let (call, called) = oneshot::channel();
-        room.arrivals += 1;
-        room.waiting.insert(rank, call);
-        room.note_load();
-        Some(Place {
+        let key = (Reverse(priority), state.arrivals);
+        let (grant, granted) = oneshot::channel();
+        state.arrivals += 1;
+        state.waiting.insert(key, grant);
+        state.record_load();
+        Some(Waiter {
             queue: self.clone(),
-            rank,
-            called,
-            seated: false,
+            key,
+            granted,
+            has_slot: false,
         })
     }
 
-    /// Hands a slot to the first who waits, or frees it.
+    /// Grants a slot to the first waiter, or frees it.
     fn release(&self) {
-        let mut room = self.lock();
-        match room.waiting.pop_first() {
-            // Whoever gave up after this call passes the slot on as its place is dropped.
-            Some((_, call)) => drop(call.send(())),
-            None => room.running -= 1,
+        let mut state = self.lock();
+        match state.waiting.pop_first() {
+            // A waiter that gives up after this grant passes the slot on when it is dropped.
+            Some((_, grant)) => drop(grant.send(())),
+            None => state.running -= 1,
         }
-        room.note_load();
+        state.record_load();
     }
 
-    /// Gives up a place; a slot already handed to it goes to the next.
-    fn leave(&self, rank: Rank) {
-        let mut room = self.lock();
-        let was_called = room.waiting.remove(&rank).is_none();
-        room.note_load();
-        drop(room);
-        if was_called {
+    /// Leaves the queue; a slot already granted goes to the next waiter.
+    fn leave_queue(&self, key: QueueKey) {
+        let mut state = self.lock();
+        let was_granted = state.waiting.remove(&key).is_none();
+        state.record_load();
+        drop(state);
+        if was_granted {
             self.release();
         }
     }
@@ -134,21 +134,21 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Room> {
-        // Nothing panics while it holds the lock half-way through a change.
-        self.room.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, QueueState> {
+        // No code panics in the middle of a change, so a poisoned lock guards consistent state.
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Slot {
-    /// Sequences that run now, this one included.
+    /// Number of running sequences, this one included.
     pub(crate) fn batch_size(&self) -> u32 {
         self.queue.lock().running
     }
 }
 
-impl Room {
-    fn note_load(&mut self) {
+impl QueueState {
+    fn record_load(&mut self) {
         let waiting = u32::try_from(self.waiting.len()).unwrap_or(u32::MAX);
         let load = (self.running, waiting);
         self.load.set(Instant::now(), self.load_lag, load);
@@ -161,10 +161,10 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Waiter {
     fn drop(&mut self) {
-        if !self.seated {
-            self.queue.leave(self.rank);
+        if !self.has_slot {
+            self.queue.leave_queue(self.key);
         }
     }
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for what the platform gives: table, objects, host list, engines and services.
+//! Stand-ins for the platform (table, objects, host list), engines and services.
 //!
 //! Each stand-in is a small server that starts within the calling process, or as a program of
-//! its own. Faults are switched over HTTP while it runs. None of them keeps anything on disk.
+//! its own. Faults are injected over HTTP while it runs. None of them stores anything on disk.
 
 pub mod backend;
 pub mod command;
@@ -15,6 +15,6 @@
 pub mod service;
 
 mod acceptor;
-mod lagging;
+mod lagging_value;
 
-pub(crate) use lagging::Lagging;
+pub(crate) use lagging_value::LaggingValue;
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's table, object store and host list.
 //!
-//! All state lives in memory behind one lock, so each transaction is atomic. Faults act in the
+//! All state is in memory behind one lock, so each transaction is atomic. Faults apply in the
 //! order in which a real call would meet them: silence and outage first, then the rate limits,
 //! then half of the latency, the effect, the other half, and at last a lost answer.
 
--- a/crates/standins/src/platform/host_directory.rs
+++ b/crates/standins/src/platform/host_directory.rs
@@ -1,4 +1,4 @@
-//! The true host list, and the late one that readers see.
+//! The current host list, and the delayed one that readers see.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,14 +7,14 @@
 use amaranthscale_core::wire::{HostList, HostRecord, HostState};
 use tokio::time::Instant;
 
-use crate::Lagging;
+use crate::LaggingValue;
 
 /// Hosts by name.
 #[derive(Debug)]
 pub(crate) struct HostDirectory {
     version: u64,
     hosts: BTreeMap<HostId, HostRecord>,
-    published: Lagging<HostList>,
+    published: LaggingValue<HostList>,
 }
 
 impl HostDirectory {
@@ -23,7 +23,7 @@
         Self {
             version: 0,
             hosts: BTreeMap::new(),
-            published: Lagging::new(now, HostList::default()),
+            published: LaggingValue::new(now, HostList::default()),
         }
     }
 
--- a/crates/standins/src/platform/platform_faults.rs
+++ b/crates/standins/src/platform/platform_faults.rs
@@ -1,8 +1,8 @@
-//! Faults of the platform, as switched over HTTP.
+//! Faults of the platform, set over HTTP.
 
 use serde::{Deserialize, Serialize};
 
-/// Faults to switch; what is absent stays as it is.
+/// Faults to set; an absent field leaves its fault unchanged.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
@@ -14,16 +14,17 @@
     pub silent: Option<bool>,
     /// Time that each call takes, in milliseconds.
     pub latency_ms: Option<u64>,
-    /// So many next transactions take effect, but lose their answer.
+    /// Number of next transactions that take effect, but whose answer is lost.
     pub lose_answers: Option<u32>,
     /// Delay of late effects, in milliseconds.
     pub late_effect_ms: Option<u64>,
-    /// So many next transactions lose their answer and take effect late, checked at that time.
+    /// Number of next transactions whose answer is lost and which take effect late, with their
+    /// checks made at that time.
     pub late_effects: Option<u32>,
-    /// Reads a second, above which calls are refused.
+    /// Reads per second, above which calls are refused.
     pub reads_per_second: Option<u32>,
-    /// Writes a second, above which calls are refused.
+    /// Writes per second, above which calls are refused.
     pub writes_per_second: Option<u32>,
-    /// Time by which the host list lags, in milliseconds.
+    /// Lag of the host list, in milliseconds.
     pub host_list_lag_ms: Option<u64>,
 }
--- a/crates/standins/src/platform/platform_settings.rs
+++ b/crates/standins/src/platform/platform_settings.rs
@@ -2,9 +2,9 @@
 
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Reads a second that the brief names: about two thousand.
+/// The platform's specified limit of reads per second: about two thousand.
 const DEFAULT_READS_PER_SECOND: u32 = 2000;
-/// Writes a second that the brief names: several hundred.
+/// The platform's specified limit of writes per second: several hundred.
 const DEFAULT_WRITES_PER_SECOND: u32 = 500;
 
 /// Settings of the platform stand-in.
@@ -12,11 +12,11 @@
 pub struct PlatformSettings {
     /// Address to listen at.
     pub listen: SocketAddr,
-    /// Reads a second, above which calls are refused.
+    /// Reads per second, above which calls are refused.
     pub reads_per_second: u32,
-    /// Writes a second, above which calls are refused.
+    /// Writes per second, above which calls are refused.
     pub writes_per_second: u32,
-    /// Time by which the host list lags, in milliseconds.
+    /// Lag of the host list, in milliseconds.
     pub host_list_lag_ms: u64,
     /// Time that each call takes, in milliseconds.
     pub latency_ms: u64,
--- a/crates/standins/src/platform/rate_window.rs
+++ b/crates/standins/src/platform/rate_window.rs
@@ -1,4 +1,4 @@
-//! A limit of calls a second.
+//! A limit on calls per second.
 
 use std::time::Duration;
 
@@ -7,37 +7,37 @@
 /// Length of a window; the limits are given per second.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Counts calls in windows of a second.
+/// Fixed-window rate limiter with windows of one second.
 #[derive(Debug)]
 pub(crate) struct RateWindow {
     limit: u32,
-    opened: Instant,
-    taken: u32,
+    window_start: Instant,
+    admitted_count: u32,
 }
 
 impl RateWindow {
-    /// Lets so many calls through each second.
+    /// Admits up to `limit` calls per second.
     pub(crate) fn new(now: Instant, limit: u32) -> Self {
         Self {
             limit,
-            opened: now,
-            taken: 0,
+            window_start: now,
+            admitted_count: 0,
         }
     }
 
-    /// Changes the limit from the present window on.
+    /// Changes the limit from the current window on.
     pub(crate) fn set_limit(&mut self, limit: u32) {
         self.limit = limit;
     }
 
-    /// Whether one more call may pass now.
+    /// Counts one more call if the limit allows it now; whether it does.
     pub(crate) fn admit(&mut self, now: Instant) -> bool {
-        if now.saturating_duration_since(self.opened) >= WINDOW {
-            self.opened = now;
-            self.taken = 0;
+        if now.saturating_duration_since(self.window_start) >= WINDOW {
+            self.window_start = now;
+            self.admitted_count = 0;
         }
-        let admitted = self.taken < self.limit;
-        self.taken += u32::from(admitted);
+        let admitted = self.admitted_count < self.limit;
+        self.admitted_count += u32::from(admitted);
         admitted
     }
 }
--- a/crates/standins/src/platform/routes.rs
+++ b/crates/standins/src/platform/routes.rs
@@ -12,13 +12,13 @@
     percent_decode, status,
 };
 use crate::platform::PlatformFaults;
-use crate::platform::state::{HOSTS_PATH, State, TransactionFate};
+use crate::platform::state::{HOSTS_PATH, State, TransactionMode};
 
-/// Paths under which tests switch faults and read counts; no fault touches them.
+/// Paths at which tests set faults and read counts; no fault affects them.
 const ADMIN_PREFIX: &str = "/admin/";
 /// Paths of objects.
 const OBJECT_PREFIX: &str = "/objects/";
-/// Rows that one listing holds unless its caller says otherwise.
+/// Default limit on the rows of one listing.
 const DEFAULT_ROWS_LIMIT: usize = 1000;
 
 /// Body of a change of a host's state.
@@ -42,11 +42,11 @@
     if state.lock().silent {
         std::future::pending::<()>().await;
     }
-    if state.lock().is_away(request.uri().path()) {
+    if state.lock().is_unavailable(request.uri().path()) {
         return Ok(status(StatusCode::SERVICE_UNAVAILABLE));
     }
-    // Half of the latency lies on either side of the effect, so that a caller who gives up may do
-    // so before the call takes effect or after.
+    // Half of the latency passes before the effect and half after it, so that a caller may time
+    // out before the call takes effect or after.
     let half_latency = state.lock().latency / 2;
     tokio::time::sleep(half_latency).await;
     let answer = serve(&state, &request)?;
@@ -100,14 +100,14 @@
     if !contents.admit_write() {
         return Ok(status(StatusCode::TOO_MANY_REQUESTS));
     }
-    match contents.next_fate() {
-        TransactionFate::Answered => Ok(transaction_answer(&contents.apply(&transaction))),
-        TransactionFate::AnswerLost => {
+    match contents.next_mode() {
+        TransactionMode::Answered => Ok(transaction_answer(&contents.apply(&transaction))),
+        TransactionMode::AnswerLost => {
             contents.apply(&transaction);
             log::info!("platform: answer lost");
             Err(ConnectionClosed::ByFault)
         }
-        TransactionFate::Late(delay) => {
+        TransactionMode::Late(delay) => {
             let due = Instant::now() + delay;
             tokio::spawn(apply_later(state.clone(), transaction, due));
             log::info!("platform: answer lost, effect late");
@@ -129,7 +129,7 @@
     json(status, reply)
 }
 
-/// The host list; without a body if the reader has it already.
+/// The host list, or no content if the reader already has this version.
 fn hosts(state: &State, request: &Request<Bytes>) -> Answer {
     let mut contents = state.lock();
     let lag = contents.host_list_lag;
@@ -162,22 +162,22 @@
 
 fn admin(state: &State, request: &Request<Bytes>) -> Answer {
     let body = request.body();
-    let done = match (request.method(), request.uri().path()) {
+    let result = match (request.method(), request.uri().path()) {
         (&Method::GET, "/admin/counts") => Ok(json(StatusCode::OK, &state.lock().counts)),
-        (&Method::POST, "/admin/faults") => switch_faults(state, body),
+        (&Method::POST, "/admin/faults") => set_faults(state, body),
         (&Method::POST, "/admin/hosts") => replace_hosts(state, body),
         (&Method::POST, "/admin/hosts/put") => put_host(state, body),
         (&Method::POST, "/admin/hosts/state") => change_host(state, body),
         (&Method::POST, "/admin/hosts/remove") => remove_host(state, body),
         _ => Ok(status(StatusCode::NOT_FOUND)),
     };
-    done.unwrap_or_else(|answer| *answer)
+    result.unwrap_or_else(|answer| *answer)
 }
 
-fn switch_faults(state: &State, body: &Bytes) -> Result<Answer, Box<Answer>> {
+fn set_faults(state: &State, body: &Bytes) -> Result<Answer, Box<Answer>> {
     let faults: PlatformFaults = json_body(body)?;
     log::info!("platform: faults switched: {faults:?}");
-    state.lock().switch(faults);
+    state.lock().set_faults(faults);
     Ok(no_content())
 }
 
@@ -205,7 +205,7 @@
     let found = contents
         .hosts
         .set_state(now, lag, &change.host, change.state);
-    Ok(found_or_not(found))
+    Ok(no_content_or_not_found(found))
 }
 
 fn remove_host(state: &State, body: &Bytes) -> Result<Answer, Box<Answer>> {
@@ -213,10 +213,10 @@
     let mut contents = state.lock();
     let lag = contents.host_list_lag;
     let found = contents.hosts.remove(Instant::now(), lag, &removal.host);
-    Ok(found_or_not(found))
+    Ok(no_content_or_not_found(found))
 }
 
-fn found_or_not(found: bool) -> Answer {
+fn no_content_or_not_found(found: bool) -> Answer {
     if found {
         no_content()
     } else {
--- a/crates/standins/src/platform/state.rs
+++ b/crates/standins/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! What the platform holds, and the faults that are switched on.
+//! The platform's contents and its active faults.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -22,7 +22,7 @@
     contents: Arc<Mutex<Contents>>,
 }
 
-/// What the platform holds.
+/// The platform's contents and its active faults.
 #[derive(Debug)]
 pub(crate) struct Contents {
     pub(crate) table: Table,
@@ -41,14 +41,14 @@
     lose_answers: u32,
 }
 
-/// What becomes of one transaction.
+/// How one transaction is executed and answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum TransactionFate {
-    /// Takes effect and is answered.
+pub(crate) enum TransactionMode {
+    /// It takes effect and is answered.
     Answered,
-    /// Takes effect, but its answer is lost.
+    /// It takes effect, but its answer is lost.
     AnswerLost,
-    /// Is not answered and takes effect after this time.
+    /// It is not answered and takes effect after this time.
     Late(Duration),
 }
 
@@ -60,16 +60,17 @@
         }
     }
 
-    /// The contents, for a moment.
+    /// Locks the contents.
     pub(crate) fn lock(&self) -> MutexGuard<'_, Contents> {
-        // No code panics half-way through a change, so a poisoned lock still guards whole contents.
+        // No code panics in the middle of a change, so the contents are consistent even if
+        // the lock is poisoned.
         self.contents.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Contents {
-    /// Switches faults.
-    pub(crate) fn switch(&mut self, faults: PlatformFaults) {
+    /// Sets faults.
+    pub(crate) fn set_faults(&mut self, faults: PlatformFaults) {
         set(&mut self.outage, faults.outage);
         set(&mut self.table_outage, faults.table_outage);
         set(&mut self.silent, faults.silent);
@@ -91,27 +92,27 @@
         }
     }
 
-    /// Whether a call to this path meets an outage.
-    pub(crate) fn is_away(&self, path: &str) -> bool {
+    /// Whether calls to this path fail by an outage.
+    pub(crate) fn is_unavailable(&self, path: &str) -> bool {
         self.outage || (self.table_outage && path != HOSTS_PATH)
     }
 
-    /// Decides what becomes of the next transaction.
-    pub(crate) fn next_fate(&mut self) -> TransactionFate {
+    /// Decides how the next transaction is executed and answered.
+    pub(crate) fn next_mode(&mut self) -> TransactionMode {
         if self.late_effects > 0 {
             self.late_effects -= 1;
             self.counts.lost += 1;
-            TransactionFate::Late(self.late_effect)
+            TransactionMode::Late(self.late_effect)
         } else if self.lose_answers > 0 {
             self.lose_answers -= 1;
             self.counts.lost += 1;
-            TransactionFate::AnswerLost
+            TransactionMode::AnswerLost
         } else {
-            TransactionFate::Answered
+            TransactionMode::Answered
         }
     }
 
-    /// Lets a transaction take effect.
+    /// Applies a transaction and counts its result.
     pub(crate) fn apply(&mut self, transaction: &Transaction) -> TransactionReply {
         let reply = self.table.apply(transaction);
         match reply {
@@ -121,7 +122,7 @@
         reply
     }
 
-    /// Whether a read may pass.
+    /// Counts a read and whether the rate limit admits it.
     pub(crate) fn admit_read(&mut self) -> bool {
         let admitted = self.reads.admit(Instant::now());
         self.counts.reads += u64::from(admitted);
@@ -129,7 +130,7 @@
         admitted
     }
 
-    /// Whether a write may pass.
+    /// Counts a write and whether the rate limit admits it.
     pub(crate) fn admit_write(&mut self) -> bool {
         let admitted = self.writes.admit(Instant::now());
         self.counts.writes += u64::from(admitted);
--- a/crates/standins/src/platform/table.rs
+++ b/crates/standins/src/platform/table.rs
@@ -1,4 +1,4 @@
-//! Rows, changed by transactions.
+//! Versioned rows, changed by transactions.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -6,7 +6,7 @@
 use amaranthscale_core::id::RowVersion;
 use amaranthscale_core::wire::{Row, RowCheck, RowWrite, Transaction, TransactionReply};
 
-/// Rows in order of their keys.
+/// Rows, ordered by key.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     rows: BTreeMap<String, Row>,
@@ -35,7 +35,7 @@
             .collect()
     }
 
-    /// Writes all rows if all checks hold, else none.
+    /// Writes all rows if all checks succeed, else none.
     pub(crate) fn apply(&mut self, transaction: &Transaction) -> TransactionReply {
         if transaction.checks.iter().all(|check| self.holds(check)) {
             let writes = transaction.writes.iter();
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -1,9 +1,9 @@
 //! A relay of TCP connections that can delay, cut or silence them.
 //!
-//! A silenced connection stays open at both ends, but nothing passes any more: the relay stands
-//! for something between two hosts that has lost track of the connection, while new ones work.
+//! A silenced connection stays open at both ends, but no bytes pass any more: the relay simulates
+//! a device between two hosts that has lost its state for the connection, while new ones work.
 
-mod connection_fate;
+mod connection_state;
 mod relay_counts;
 mod relay_faults;
 mod relay_routes;
@@ -19,7 +19,7 @@
 use crate::acceptor::start_acceptor;
 use crate::http::{StopSignal, start_server};
 
-pub(crate) use connection_fate::ConnectionFate;
+pub(crate) use connection_state::ConnectionState;
 
 #[doc(inline)]
 pub use relay_counts::RelayCounts;
--- a/crates/standins/src/relay/relay_counts.rs
+++ b/crates/standins/src/relay/relay_counts.rs
@@ -1,20 +1,20 @@
-//! What a relay has counted.
+//! Counts of a relay.
 
 use serde::{Deserialize, Serialize};
 
 /// Connections and bytes counted since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayCounts {
-    /// Connections relayed.
+    /// Relayed connections.
     pub accepted: u64,
-    /// Connections closed at once, by a fault or because the far end took none.
+    /// Connections closed at once, by a fault or because the destination accepted none.
     pub refused: u64,
-    /// Connections that went silent.
+    /// Connections that were silenced.
     pub silenced: u64,
     /// Connections that were cut.
     pub cut: u64,
-    /// Bytes passed to the far end.
+    /// Bytes relayed to the destination.
     pub to_server_bytes: u64,
-    /// Bytes passed back.
+    /// Bytes relayed back.
     pub to_client_bytes: u64,
 }
--- a/crates/standins/src/relay/relay_routes.rs
+++ b/crates/standins/src/relay/relay_routes.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface of a relay's switches.
+//! The HTTP interface for a relay's faults and counts.
 
 use bytes::Bytes;
 use hyper::{Method, Request, StatusCode};
@@ -11,16 +11,16 @@
 pub(crate) fn handle(state: &RelayState, request: &Request<Bytes>) -> Answer {
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/admin/counts") => json(StatusCode::OK, &state.counts()),
-        (&Method::POST, "/admin/faults") => switch_faults(state, request.body()),
+        (&Method::POST, "/admin/faults") => set_faults(state, request.body()),
         _ => status(StatusCode::NOT_FOUND),
     }
 }
 
-fn switch_faults(state: &RelayState, body: &Bytes) -> Answer {
+fn set_faults(state: &RelayState, body: &Bytes) -> Answer {
     match json_body::<RelayFaults>(body) {
         Ok(faults) => {
             log::info!("relay: faults switched: {faults:?}");
-            state.switch(&faults);
+            state.set_faults(&faults);
             no_content()
         }
         Err(answer) => *answer,
--- a/crates/standins/src/relay/relay_settings.rs
+++ b/crates/standins/src/relay/relay_settings.rs
@@ -9,12 +9,12 @@
     pub listen: SocketAddr,
     /// Address to connect to.
     pub to: SocketAddr,
-    /// Address at which faults are switched.
+    /// Address at which faults are set.
     pub admin: SocketAddr,
 }
 
 impl RelaySettings {
-    /// A relay to an address, on any free ports of this machine.
+    /// A relay to an address, on any free loopback ports.
     #[must_use]
     pub fn to(address: SocketAddr) -> Self {
         let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
--- a/crates/standins/src/relay/relay_state.rs
+++ b/crates/standins/src/relay/relay_state.rs
@@ -1,4 +1,4 @@
-//! What a relay holds.
+//! State of a relay.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -6,9 +6,9 @@
 
 use tokio::sync::watch;
 
-use crate::relay::{ConnectionFate, RelayCounts, RelayFaults};
+use crate::relay::{ConnectionState, RelayCounts, RelayFaults};
 
-/// What a relay holds.
+/// State of a relay.
 #[derive(Debug)]
 pub(crate) struct RelayState {
     pub(crate) to: SocketAddr,
@@ -20,7 +20,7 @@
     counts: RelayCounts,
     delay: Duration,
     refuse_new: bool,
-    fates: Vec<watch::Sender<ConnectionFate>>,
+    connections: Vec<watch::Sender<ConnectionState>>,
 }
 
 impl RelayState {
@@ -30,7 +30,7 @@
             counts: RelayCounts::default(),
             delay: Duration::ZERO,
             refuse_new: false,
-            fates: Vec::new(),
+            connections: Vec::new(),
         };
         Self {
             to,
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Switches faults.
-    pub(crate) fn switch(&self, faults: &RelayFaults) {
+    /// Sets faults.
+    pub(crate) fn set_faults(&self, faults: &RelayFaults) {
         let mut inner = self.lock();
         if let Some(delay_ms) = faults.delay_ms {
             inner.delay = Duration::from_millis(delay_ms);
@@ -48,40 +48,40 @@
             inner.refuse_new = refuse_new;
         }
         if faults.silence_open == Some(true) {
-            inner.counts.silenced += inner.raise_fates(ConnectionFate::Silent);
+            inner.counts.silenced += inner.advance_connections(ConnectionState::Silent);
         }
         if faults.cut_open == Some(true) {
-            inner.counts.cut += inner.raise_fates(ConnectionFate::Cut);
+            inner.counts.cut += inner.advance_connections(ConnectionState::Cut);
         }
     }
 
-    /// Takes note of a new connection, unless new ones are refused.
-    pub(crate) fn admit(&self) -> Option<watch::Receiver<ConnectionFate>> {
+    /// Registers a new connection, unless new ones are refused.
+    pub(crate) fn register(&self) -> Option<watch::Receiver<ConnectionState>> {
         let mut inner = self.lock();
         if inner.refuse_new {
             inner.counts.refused += 1;
             return None;
         }
-        let (sender, fate) = watch::channel(ConnectionFate::Open);
-        inner.fates.retain(|fate| !fate.is_closed());
-        inner.fates.push(sender);
+        let (sender, connection_state) = watch::channel(ConnectionState::Open);
+        inner.connections.retain(|sender| !sender.is_closed());
+        inner.connections.push(sender);
         inner.counts.accepted += 1;
-        Some(fate)
+        Some(connection_state)
     }
 
-    /// Takes note that the far end took no connection.
-    pub(crate) fn note_unreachable(&self) {
+    /// Records that the destination accepted no connection.
+    pub(crate) fn record_unreachable(&self) {
         let mut inner = self.lock();
         inner.counts.accepted -= 1;
         inner.counts.refused += 1;
     }
 
-    /// One-way delay of what passes now.
+    /// Current one-way delay.
     pub(crate) fn delay(&self) -> Duration {
         self.lock().delay
     }
 
-    /// What was counted so far.
+    /// Counts so far.
     pub(crate) fn counts(&self) -> RelayCounts {
         self.lock().counts
     }
@@ -92,24 +92,24 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        // Nothing panics while it holds the lock half-way through a change.
+        // No code panics in the middle of a change, so a poisoned lock guards consistent state.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Inner {
-    /// Gives all connections a worse fate; tells how many had a better one.
-    fn raise_fates(&self, fate: ConnectionFate) -> u64 {
-        let open = self.fates.iter().filter(|sender| !sender.is_closed());
-        let raised = open.filter(|sender| sender.send_if_modified(|old| raise(old, fate)));
-        u64::try_from(raised.count()).unwrap_or(u64::MAX)
+    /// Advances all connections to a later state; returns how many were in an earlier one.
+    fn advance_connections(&self, state: ConnectionState) -> u64 {
+        let open = self.connections.iter().filter(|sender| !sender.is_closed());
+        let advanced = open.filter(|sender| sender.send_if_modified(|old| advance(old, state)));
+        u64::try_from(advanced.count()).unwrap_or(u64::MAX)
     }
 }
 
-fn raise(old: &mut ConnectionFate, new: ConnectionFate) -> bool {
-    let is_worse = *old < new;
-    if is_worse {
+fn advance(old: &mut ConnectionState, new: ConnectionState) -> bool {
+    let is_later = *old < new;
+    if is_later {
         *old = new;
     }
-    is_worse
+    is_later
 }
--- a/crates/standins/src/relay/relayed_connection.rs
+++ b/crates/standins/src/relay/relayed_connection.rs
@@ -1,4 +1,4 @@
-//! One connection that passes through a relay.
+//! One connection through a relay.
 
 use std::io;
 use std::sync::Arc;
@@ -12,30 +12,30 @@
 
 use crate::acceptor::set_no_delay;
 use crate::relay::relay_state::RelayState;
-use crate::relay::{ConnectionFate, RelayCounts};
+use crate::relay::{ConnectionState, RelayCounts};
 
-/// Bytes read at once.
+/// Maximum bytes of one read.
 const READ_BYTES: usize = 16 * 1024;
-/// Pieces that may be on their way in one direction; bounds the memory of a delayed connection.
-const PIECES_IN_FLIGHT: usize = 256;
+/// Maximum chunks in flight in one direction; limits the memory of a delayed connection.
+const MAX_CHUNKS_IN_FLIGHT: usize = 256;
 
-/// Bytes that become due at the other end.
+/// Bytes that are written to the other end at `due`.
 #[derive(Debug)]
-struct Piece {
+struct DelayedChunk {
     due: Instant,
     bytes: Bytes,
 }
 
 /// Relays a connection until it ends or is cut.
 pub(crate) async fn serve(state: Arc<RelayState>, client: TcpStream) {
-    let Some(fate) = state.admit() else {
+    let Some(connection_state) = state.register() else {
         return;
     };
     match TcpStream::connect(state.to).await {
-        Ok(server) => relay(&state, client, server, fate).await,
+        Ok(server) => relay(&state, client, server, connection_state).await,
         Err(error) => {
             log::info!("relay: far end not reached: {error}");
-            state.note_unreachable();
+            state.record_unreachable();
         }
     }
 }
@@ -44,32 +44,39 @@
     state: &RelayState,
     mut client: TcpStream,
     mut server: TcpStream,
-    mut fate: watch::Receiver<ConnectionFate>,
+    mut connection_state: watch::Receiver<ConnectionState>,
 ) {
     set_no_delay(&server);
     tokio::select! {
         biased;
-        () = reached(&mut fate, ConnectionFate::Silent) => {}
-        () = pass_both_ways(state, &mut client, &mut server) => return,
+        () = wait_for_state(&mut connection_state, ConnectionState::Silent) => {}
+        () = relay_both_ways(state, &mut client, &mut server) => return,
     }
-    // Both sockets stay open here, unread, so that neither end learns that nothing passes.
-    reached(&mut fate, ConnectionFate::Cut).await;
+    // Both sockets stay open but unread, so that neither end notices that no bytes pass.
+    wait_for_state(&mut connection_state, ConnectionState::Cut).await;
 }
 
-/// Waits until the connection has this fate, or a worse one.
-async fn reached(fate: &mut watch::Receiver<ConnectionFate>, awaited: ConnectionFate) {
-    if fate.wait_for(|fate| *fate >= awaited).await.is_err() {
+/// Waits until the connection is in this state, or a later one.
+async fn wait_for_state(
+    connection_state: &mut watch::Receiver<ConnectionState>,
+    target: ConnectionState,
+) {
+    if connection_state
+        .wait_for(|connection_state| *connection_state >= target)
+        .await
+        .is_err()
+    {
         std::future::pending::<()>().await;
     }
 }
 
-async fn pass_both_ways(state: &RelayState, client: &mut TcpStream, server: &mut TcpStream) {
+async fn relay_both_ways(state: &RelayState, client: &mut TcpStream, server: &mut TcpStream) {
     let (client_read, client_write) = client.split();
     let (server_read, server_write) = server.split();
-    let to_server = pass(state, client_read, server_write, |counts, bytes| {
+    let to_server = relay_one_way(state, client_read, server_write, |counts, bytes| {
         counts.to_server_bytes += bytes;
     });
-    let to_client = pass(state, server_read, client_write, |counts, bytes| {
+    let to_client = relay_one_way(state, server_read, client_write, |counts, bytes| {
         counts.to_client_bytes += bytes;
     });
     if let Err(error) = tokio::try_join!(to_server, to_client) {
@@ -77,50 +84,50 @@
     }
 }
 
-/// Passes bytes one way until their end, and then the end itself.
-async fn pass(
+/// Relays bytes one way until end of file, and then the end of file itself.
+async fn relay_one_way(
     state: &RelayState,
     from: ReadHalf<'_>,
     to: WriteHalf<'_>,
     count: impl Fn(&mut RelayCounts, u64),
 ) -> io::Result<()> {
-    let (pieces, due_pieces) = mpsc::channel(PIECES_IN_FLIGHT);
-    let reading = read_pieces(state, from, pieces);
-    let writing = write_pieces(state, due_pieces, to, count);
+    let (chunks, chunk_receiver) = mpsc::channel(MAX_CHUNKS_IN_FLIGHT);
+    let reading = read_chunks(state, from, chunks);
+    let writing = write_chunks(state, chunk_receiver, to, count);
     tokio::try_join!(reading, writing)?;
     Ok(())
 }
 
-async fn read_pieces(
+async fn read_chunks(
     state: &RelayState,
     mut from: ReadHalf<'_>,
-    pieces: mpsc::Sender<Piece>,
+    chunks: mpsc::Sender<DelayedChunk>,
 ) -> io::Result<()> {
     loop {
         let mut buffer = BytesMut::with_capacity(READ_BYTES);
         if from.read_buf(&mut buffer).await? == 0 {
             return Ok(());
         }
-        let piece = Piece {
+        let chunk = DelayedChunk {
             due: Instant::now() + state.delay(),
             bytes: buffer.freeze(),
         };
-        if pieces.send(piece).await.is_err() {
+        if chunks.send(chunk).await.is_err() {
             return Ok(());
         }
     }
 }
 
-async fn write_pieces(
+async fn write_chunks(
     state: &RelayState,
-    mut pieces: mpsc::Receiver<Piece>,
+    mut chunks: mpsc::Receiver<DelayedChunk>,
     mut to: WriteHalf<'_>,
     count: impl Fn(&mut RelayCounts, u64),
 ) -> io::Result<()> {
-    while let Some(piece) = pieces.recv().await {
-        tokio::time::sleep_until(piece.due).await;
-        to.write_all(&piece.bytes).await?;
-        let bytes = u64::try_from(piece.bytes.len()).unwrap_or(u64::MAX);
+    while let Some(chunk) = chunks.recv().await {
+        tokio::time::sleep_until(chunk.due).await;
+        to.write_all(&chunk.bytes).await?;
+        let bytes = u64::try_from(chunk.bytes.len()).unwrap_or(u64::MAX);
         state.count(|counts| count(counts, bytes));
     }
     to.shutdown().await
--- a/crates/standins/src/relay/running_relay.rs
+++ b/crates/standins/src/relay/running_relay.rs
@@ -1,10 +1,10 @@
-//! A relay that runs within this process.
+//! A relay within this process.
 
 use std::net::SocketAddr;
 
 use crate::http::Running;
 
-/// A relay that runs; dropping it stops it.
+/// A running relay; dropping it stops it.
 #[derive(Debug)]
 pub struct RunningRelay {
     relay: Running,
@@ -18,31 +18,31 @@
         self.relay.address()
     }
 
-    /// Address at which faults are switched.
+    /// Address at which faults are set.
     #[must_use]
     pub fn admin_address(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// URL of a path at the far end, through the relay.
+    /// URL of a path at the destination, through the relay.
     #[must_use]
     pub fn url(&self, path: impl AsRef<str>) -> String {
         self.relay.url(path)
     }
 
-    /// URL of a path of the relay's own switches.
+    /// URL of a path of the relay's own interface.
     #[must_use]
     pub fn admin_url(&self, path: impl AsRef<str>) -> String {
         self.admin.url(path)
     }
 
-    /// Stops at once: cuts all connections and frees both ports.
+    /// Stops at once: closes all connections and frees both ports.
     pub async fn stop(self) {
         self.relay.stop().await;
         self.admin.stop().await;
     }
 
-    /// Waits until it has stopped, by whatever cause.
+    /// Waits until it has stopped, for any reason.
     pub async fn ended(&mut self) {
         self.relay.ended().await;
     }
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,7 +1,7 @@
-//! A plain service, some of whose calls may not be repeated.
+//! Stand-in of a plain service, some of whose calls must not be retried.
 //!
-//! It records each call the moment it starts, so that a test sees every execution, also of a
-//! call whose caller went away or never got an answer.
+//! It records each call when it starts, so that a test sees every execution, also that of a
+//! call whose caller disconnected or never received an answer.
 
 mod service_execution;
 mod service_routes;
--- a/crates/standins/src/service/service_execution.rs
+++ b/crates/standins/src/service/service_execution.rs
@@ -5,14 +5,14 @@
 
 use crate::backend::CallId;
 
-/// Record of one execution, made as it started.
+/// Record of one execution, made when it started.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceExecution {
-    /// Identity of the call.
+    /// Id of the call.
     pub call_id: CallId,
     /// Path of the call, without its leading slash.
     pub path: String,
-    /// Organisation that the call works for, if told.
+    /// Organisation of the call, if stated.
     pub organisation: Option<OrganisationId>,
     /// SHA-256 of the call's body, in hexadecimal.
     pub body_digest: String,
--- a/crates/standins/src/service/service_routes.rs
+++ b/crates/standins/src/service/service_routes.rs
@@ -25,23 +25,23 @@
 pub(crate) async fn handle(state: Arc<ServiceState>, request: Request<Bytes>) -> Handled {
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/executions") => Ok(json(StatusCode::OK, &state.executions())),
-        (&Method::POST, "/admin/faults") => Ok(switch_faults(&state, request.body())),
+        (&Method::POST, "/admin/faults") => Ok(set_faults(&state, request.body())),
         (&Method::POST, path) => call(&state, path.trim_start_matches('/'), &request).await,
         _ => Ok(status(StatusCode::NOT_FOUND)),
     }
 }
 
 async fn call(state: &ServiceState, path: &str, request: &Request<Bytes>) -> Handled {
-    let headers = match CallHeaders::read(request.headers()) {
+    let headers = match CallHeaders::parse(request.headers()) {
         Ok(headers) => headers,
         Err(error) => return Ok(plain(StatusCode::BAD_REQUEST, error.to_string())),
     };
-    state.switches.thawed().await;
+    state.faults.until_unfrozen().await;
     let body_digest = digest(request.body());
     let execution = state.record(&headers, path, body_digest);
-    state.switches.work(state.service_time).await;
-    state.switches.released().await;
-    if state.switches.take_failure() {
+    state.faults.simulate_work(state.service_time).await;
+    state.faults.until_released().await;
+    if state.faults.take_failure() {
         return Ok(status(StatusCode::INTERNAL_SERVER_ERROR));
     }
     let reply = ServiceReply {
@@ -56,18 +56,18 @@
 
 async fn answer(state: &ServiceState, reply: &ServiceReply<'_>) -> Handled {
     let answer = json(StatusCode::OK, reply);
-    if !state.switches.take_break() {
+    if !state.faults.take_break() {
         return Ok(answer);
     }
     let whole = answer.into_body().collect().await?.to_bytes();
     Ok(broken_off(whole.slice(..whole.len() / 2)))
 }
 
-fn switch_faults(state: &ServiceState, body: &Bytes) -> Answer {
+fn set_faults(state: &ServiceState, body: &Bytes) -> Answer {
     match json_body::<BackendFaults>(body) {
         Ok(faults) => {
             log::info!("service: faults switched: {faults:?}");
-            state.switches.switch(&faults);
+            state.faults.set(&faults);
             no_content()
         }
         Err(answer) => *answer,
--- a/crates/standins/src/service/service_settings.rs
+++ b/crates/standins/src/service/service_settings.rs
@@ -2,9 +2,9 @@
 
 use std::net::{Ipv4Addr, SocketAddr};
 
-use crate::backend::Death;
+use crate::backend::CrashMode;
 
-/// Time that a call takes unless told otherwise.
+/// Default duration of a call, in milliseconds.
 const DEFAULT_SERVICE_MS: u64 = 5;
 
 /// Settings of the stand-in of a plain service.
@@ -12,12 +12,12 @@
 pub struct ServiceSettings {
     /// Address to listen at.
     pub listen: SocketAddr,
-    /// Name that its answers show.
+    /// Name shown in its answers.
     pub name: String,
-    /// Time that a call takes, in milliseconds.
+    /// Duration of a call, in milliseconds.
     pub service_ms: u64,
-    /// What it does when told to die.
-    pub death: Death,
+    /// How it crashes on request.
+    pub crash_mode: CrashMode,
 }
 
 impl Default for ServiceSettings {
@@ -26,7 +26,7 @@
             listen: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
             name: "service".to_owned(),
             service_ms: DEFAULT_SERVICE_MS,
-            death: Death::default(),
+            crash_mode: CrashMode::default(),
         }
     }
 }
--- a/crates/standins/src/service/service_state.rs
+++ b/crates/standins/src/service/service_state.rs
@@ -1,19 +1,19 @@
-//! What a plain service knows.
+//! State of a plain service.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use crate::backend::{CallHeaders, CallId, Digest, Switches};
+use crate::backend::{ActiveFaults, CallHeaders, CallId, Digest};
 use crate::http::StopSignal;
 use crate::service::{ServiceExecution, ServiceSettings};
 
-/// What a plain service knows.
+/// State of a plain service.
 #[derive(Debug)]
 pub(crate) struct ServiceState {
     pub(crate) name: String,
     pub(crate) service_time: Duration,
-    pub(crate) switches: Switches,
+    pub(crate) faults: ActiveFaults,
     records: Mutex<Records>,
 }
 
@@ -29,12 +29,12 @@
         Self {
             name: settings.name,
             service_time: Duration::from_millis(settings.service_ms),
-            switches: Switches::new(settings.death, stop),
+            faults: ActiveFaults::new(settings.crash_mode, stop),
             records: Mutex::new(Records::default()),
         }
     }
 
-    /// Records the start of an execution; tells the how-manieth of its call id it is, from 1.
+    /// Records the start of an execution; returns its number among those of its call id, from 1.
     pub(crate) fn record(&self, headers: &CallHeaders, path: &str, body_digest: Digest) -> u64 {
         let mut records = self.lock();
         let order = u64::try_from(records.executions.len() + 1).unwrap_or(u64::MAX);
@@ -57,7 +57,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Records> {
-        // Nothing panics while it holds the lock half-way through a change.
+        // No code panics in the middle of a change, so a poisoned lock guards consistent state.
         self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
