--- a/crates/amaranthscale/src/gateway/connection/connection_pool.rs
+++ b/crates/amaranthscale/src/gateway/connection/connection_pool.rs
@@ -1,8 +1,8 @@
-//! Kept connections to backend servers.
+//! Idle connections to backend servers.
 //!
-//! A connection carries one request at a time and goes back only after a whole answer. What the
-//! library finds on an idle connection (an end, or bytes that nobody asked for) ends it, so that a
-//! late second answer is not taken for the answer to the next request.
+//! A connection carries one request at a time and is returned only after a complete answer. The
+//! HTTP library closes an idle connection that ends or receives unexpected bytes, so that a late
+//! second answer is not mistaken for the answer to the next request.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,17 +20,18 @@
 
 use crate::connection::{Http1Connection, SendError};
 
-/// Longest wait for a new connection; a host that is up answers within a few milliseconds.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(350);
-/// How long a connection is kept if its server does not say: below the shortest usual time-out.
-const USUAL_IDLE: Duration = Duration::from_secs(4);
-/// Margin before the server's own time-out, within which a request could meet its close.
+/// Timeout for opening a connection; a host that is up answers within a few milliseconds.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
+/// Idle timeout if the server does not state one; below the shortest usual timeout of servers.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Margin before the server's own timeout, as a request could otherwise arrive while the server
+/// closes the connection.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// Idle connections that are kept to one server, if the entry's share of them is not less: most of
-/// its slots, far below its limit.
-const MOST_IDLE: usize = 24;
-/// Least time in which a server over its limit resets a new connection, beyond the way there and
-/// back: the time that servers take for a new connection, and as much again.
+/// Maximum number of idle connections to one server, unless the gateway's share is smaller; covers
+/// most of the server's slots and is far below its limit.
+const MAX_IDLE_PER_SERVER: usize = 24;
+/// Time beyond the round trip within which a server over its limit resets a new connection: twice
+/// the time that servers take for a new connection.
 const RESET_MARGIN: Duration = Duration::from_millis(2);
 
 /// A connection to a backend server.
@@ -38,28 +39,28 @@
 pub struct ServerConnection {
     server: ServerIncarnation,
     connection: Http1Connection,
-    is_kept: bool,
-    /// How long it took to open.
-    opened_in: Duration,
+    is_reused: bool,
+    /// Time that opening the connection took.
+    connect_time: Duration,
 }
 
 impl ServerConnection {
-    /// Waits until a server that takes no more connections would have reset a new one.
+    /// Waits until a server over its connection limit would have reset a new connection.
     ///
-    /// Guards against a request that no server saw and that yet may not be sent again: a server
-    /// over its limit accepts a connection and resets it with whatever is on its way there. Nothing
-    /// was sent before this returns, so a reset until then means that the request did not run.
-    pub async fn prove(&self) -> Result<(), SendError> {
-        if !self.is_kept {
-            tokio::time::sleep(self.opened_in * 2 + RESET_MARGIN).await;
+    /// Such a server accepts a connection and then resets it together with any request on its way.
+    /// That request would not have run, but could not be retried safely. Nothing is sent before
+    /// this returns, so a reset until then means that the request did not run.
+    pub async fn wait_until_accepted(&self) -> Result<(), SendError> {
+        if !self.is_reused {
+            tokio::time::sleep(self.connect_time * 2 + RESET_MARGIN).await;
         }
         self.connection.check_open()
     }
 
-    /// Whether it carried a request before.
+    /// Whether the connection carried a request before.
     #[must_use]
-    pub const fn is_kept(&self) -> bool {
-        self.is_kept
+    pub const fn is_reused(&self) -> bool {
+        self.is_reused
     }
 
     /// Sends one request and waits for the head of its answer.
@@ -72,85 +73,86 @@
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Http1Connection,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// Kept connections by server.
+/// Idle connections by server.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
-    idle: Mutex<BTreeMap<ServerIncarnation, Vec<Idle>>>,
+    idle: Mutex<BTreeMap<ServerIncarnation, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
-    /// A kept connection, or a new one.
+    /// An idle connection, or a new one.
     pub async fn connection(&self, server: &ServerRecord) -> Result<ServerConnection, SendError> {
-        if let Some(connection) = self.kept(&server.incarnation) {
+        if let Some(connection) = self.take_idle(&server.incarnation) {
             return Ok(connection);
         }
-        self.fresh(&server.incarnation, server.address).await
+        self.open(&server.incarnation, server.address).await
     }
 
-    /// A new connection.
-    pub async fn fresh(
+    /// Opens a new connection.
+    pub async fn open(
         &self,
         server: &ServerIncarnation,
         address: SocketAddr,
     ) -> Result<ServerConnection, SendError> {
         let started = Instant::now();
-        let connection = Http1Connection::open(address, CONNECT_PATIENCE).await?;
+        let connection = Http1Connection::open(address, CONNECT_TIMEOUT).await?;
         Ok(ServerConnection {
             server: server.clone(),
             connection,
-            is_kept: false,
-            opened_in: started.elapsed(),
+            is_reused: false,
+            connect_time: started.elapsed(),
         })
     }
 
-    /// Keeps a connection whose answer was read whole, within the entry's share of connections.
-    pub fn give_back(
+    /// Returns a connection after a complete answer; it is retained within the gateway's share of
+    /// connections.
+    pub fn return_connection(
         &self,
         connection: ServerConnection,
         answer_head: &HeaderMap,
         share: ConnectionShare,
     ) {
-        let Some(keep) = keep_time(answer_head) else {
+        let Some(idle_timeout) = parse_idle_timeout(answer_head) else {
             return;
         };
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let of_server = idle.entry(connection.server).or_default();
-        if of_server.len() < MOST_IDLE.min(share.connections()) {
-            of_server.push(Idle {
+        if of_server.len() < MAX_IDLE_PER_SERVER.min(share.connections()) {
+            of_server.push(IdleConnection {
                 connection: connection.connection,
-                until: Instant::now() + keep,
+                expires_at: Instant::now() + idle_timeout,
             });
         }
     }
 
-    /// Closes connections to servers that are gone, and those that were idle for too long.
+    /// Closes connections to unknown servers and those whose idle timeout passed.
     pub fn retain(&self, is_known: impl Fn(&ServerIncarnation) -> bool) {
         let now = Instant::now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.retain(|server, kept| {
-            kept.retain(|one| one.until > now);
-            is_known(server) && !kept.is_empty()
+        idle.retain(|server, connections| {
+            connections.retain(|one| one.expires_at > now);
+            is_known(server) && !connections.is_empty()
         });
     }
 
-    /// A kept connection.
-    pub fn kept(&self, server: &ServerIncarnation) -> Option<ServerConnection> {
+    /// Takes an idle connection, if there is one.
+    pub fn take_idle(&self, server: &ServerIncarnation) -> Option<ServerConnection> {
         let now = Instant::now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let kept = idle.get_mut(server)?;
-        // The newest is the least likely to have met its server's time-out.
-        while let Some(one) = kept.pop() {
-            if one.until > now && one.connection.is_ready() {
+        let connections = idle.get_mut(server)?;
+        // The newest one is the least likely to have reached its server's timeout.
+        while let Some(one) = connections.pop() {
+            if one.expires_at > now && one.connection.is_ready() {
                 return Some(ServerConnection {
                     server: server.clone(),
                     connection: one.connection,
-                    is_kept: true,
-                    opened_in: Duration::ZERO,
+                    is_reused: true,
+                    connect_time: Duration::ZERO,
                 });
             }
         }
@@ -158,23 +160,23 @@
     }
 }
 
-/// How long a connection may be kept by its server's answer; none if it closes.
-fn keep_time(head: &HeaderMap) -> Option<Duration> {
+/// Idle timeout according to the server's answer; `None` if the server closes the connection.
+fn parse_idle_timeout(head: &HeaderMap) -> Option<Duration> {
     let text = |name| head.get(name).and_then(|value| value.to_str().ok());
     if text(hyper::header::CONNECTION).is_some_and(|value| value.eq_ignore_ascii_case("close")) {
         return None;
     }
-    let Some(told) = text(HeaderName::from_static("keep-alive")) else {
-        return Some(USUAL_IDLE);
+    let Some(keep_alive) = text(HeaderName::from_static("keep-alive")) else {
+        return Some(DEFAULT_IDLE_TIMEOUT);
     };
-    let seconds = told
+    let seconds = keep_alive
         .split(',')
         .find_map(|part| part.trim().strip_prefix("timeout="));
     match seconds.and_then(|seconds| seconds.trim().parse().ok()) {
         Some(seconds) => {
-            let left = Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN);
-            (!left.is_zero()).then_some(left)
+            let remaining = Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN);
+            (!remaining.is_zero()).then_some(remaining)
         }
-        None => Some(USUAL_IDLE),
+        None => Some(DEFAULT_IDLE_TIMEOUT),
     }
 }
--- a/crates/amaranthscale/src/gateway/dialect.rs
+++ b/crates/amaranthscale/src/gateway/dialect.rs
@@ -62,7 +62,7 @@
     /// Key that stage servers read the pieces' input by.
     pub piece_key: String,
     /// Value of the answer relative to others, in tokens of work; 0 if not known.
-    pub worth_tokens: u64,
+    pub value_tokens: u64,
     /// Tokens of the prompt; 0 if not known.
     pub prompt_tokens: u64,
     /// Id of the last prefix of the prompt that other requests share.
--- a/crates/amaranthscale/src/gateway/process/batch_calls.rs
+++ b/crates/amaranthscale/src/gateway/process/batch_calls.rs
@@ -87,7 +87,7 @@
     let mut connection = if may_reuse {
         pool.connection(&server_record(batch)).await?
     } else {
-        pool.fresh(&batch.server, batch.address).await?
+        pool.open(&batch.server, batch.address).await?
     };
     // Since the server was chosen, its zone may have been evacuated or it may have begun to leave.
     if !caller.cluster_view.servers().is_usable(&batch.server) {
@@ -105,7 +105,7 @@
     let body = read_body(body, MAX_ANSWER_BYTES, batch.timeout)
         .await
         .map_err(|error| SendError::Lost(batch.address, error.to_string()))?;
-    pool.give_back(connection, &head.headers, ConnectionShare::UNLIMITED);
+    pool.return_connection(connection, &head.headers, ConnectionShare::UNLIMITED);
     Ok(CallEnd {
         end: (dialect.parse_batch_answer)(head.status, &head.headers, &body),
         reported_load: (dialect.reported_load)(&head.headers),
@@ -131,10 +131,10 @@
     free_request: &FreeRequest,
 ) {
     let call = async {
-        let mut connection = match pool.kept(&free_request.server) {
+        let mut connection = match pool.take_idle(&free_request.server) {
             Some(connection) => connection,
             None => {
-                pool.fresh(&free_request.server, free_request.address)
+                pool.open(&free_request.server, free_request.address)
                     .await?
             }
         };
@@ -146,7 +146,7 @@
             .await
             .is_ok()
         {
-            pool.give_back(connection, &head.headers, ConnectionShare::UNLIMITED);
+            pool.return_connection(connection, &head.headers, ConnectionShare::UNLIMITED);
         }
         Ok::<(), SendError>(())
     };
--- a/crates/amaranthscale/src/gateway/request/engine_run.rs
+++ b/crates/amaranthscale/src/gateway/request/engine_run.rs
@@ -269,7 +269,7 @@
 
     async fn stage_results(
         &mut self,
-        reader: &ServerRecord,
+        engine: &ServerRecord,
     ) -> Result<Option<JobResults>, Refusal> {
         let route = Arc::clone(&self.admitted.route);
         if route.stages.is_empty() {
@@ -289,14 +289,14 @@
                 piece_key: self.admitted.attributes.piece_key.clone(),
                 stages,
                 rank: self.admitted.rank,
-                value_tokens: self.admitted.attributes.worth_tokens,
+                value_tokens: self.admitted.attributes.value_tokens,
                 target_latency: route.target_latency,
                 target_latency_left: route
                     .target_latency
                     .saturating_sub(self.admitted.arrived_at.elapsed()),
                 deadline_left: self.admitted.remaining().saturating_sub(ENGINE_RESERVE),
                 engine_time: self.engine_time(),
-                reader_zone: reader.zone.clone(),
+                reader_zone: engine.zone.clone(),
                 retained: Vec::new(),
             };
             let job = run_job(&self.context, &self.admitted.request_content, spec);
@@ -391,7 +391,7 @@
         let share = self.context.connection_share(&self.service);
         self.context
             .pool
-            .give_back(connection, &head.headers, share);
+            .return_connection(connection, &head.headers, share);
         Ok(forwarded_response(
             head.status,
             &head.headers,
--- a/crates/amaranthscale/src/gateway/request/plain_run.rs
+++ b/crates/amaranthscale/src/gateway/request/plain_run.rs
@@ -205,7 +205,7 @@
                 in_flight_send.record_answer(self.admitted);
                 self.context
                     .pool
-                    .give_back(connection, &head.headers, self.share);
+                    .return_connection(connection, &head.headers, self.share);
                 AttemptOutcome::Answered(BufferedAnswer {
                     status: head.status,
                     headers: head.headers,
--- a/crates/amaranthscale/src/gateway/request/send.rs
+++ b/crates/amaranthscale/src/gateway/request/send.rs
@@ -123,7 +123,7 @@
         in_flight_send.end(SendEnd::Unreachable);
         return SendOutcome::NotSent;
     };
-    if !admitted.route.kind.may_repeat() && connection.prove().await.is_err() {
+    if !admitted.route.kind.may_repeat() && connection.wait_until_accepted().await.is_err() {
         // The server accepts no more connections: it is full, not failed.
         context.counters.count("connection.reset-unused");
         in_flight_send.end(SendEnd::Rejected);
@@ -147,7 +147,7 @@
         Ok(response) => response,
         Err(SendError::NotSent(..)) => {
             // A reused connection that has ended does not indicate a failed server.
-            let end = if connection.is_kept() {
+            let end = if connection.is_reused() {
                 SendEnd::Abandoned
             } else {
                 SendEnd::Failed
--- a/crates/amaranthscale/src/gateway/request/stream_relay.rs
+++ b/crates/amaranthscale/src/gateway/request/stream_relay.rs
@@ -153,7 +153,7 @@
         self.run
             .context
             .pool
-            .give_back(connection, &head.headers, share);
+            .return_connection(connection, &head.headers, share);
         let rest = splitter.rest();
         if !rest.is_empty() && self.sender.send(Ok(rest)).await.is_err() {
             return EngineStreamEnd::CallerLeft;
