--- a/crates/core/src/process/batcher.rs
+++ b/crates/core/src/process/batcher.rs
@@ -194,7 +194,7 @@
         wanted.into_values().collect()
     }
 
-    /// Records that a server has freed results, or that its incarnation which held them is gone.
+    /// Records that a server has freed results, or that the incarnation that stored them is gone.
     pub fn results_freed(&mut self, request: &FreeRequest) {
         if let Some(pool) = self.pools.get_mut(&request.service) {
             pool.release(&request.server, request.total_bytes);
--- a/crates/core/src/process/batcher/ends.rs
+++ b/crates/core/src/process/batcher/ends.rs
@@ -126,8 +126,7 @@
                 let elapsed = now.saturating_sub(batch.sent_at).as_secs_f64();
                 server.record_answer(elapsed / expected.max(0.001), now);
             }
-            // The listing of the server or its zone gives the reason; the next server list omits
-            // it.
+            // No loss: the server is leaving, unlisted or in an evacuated zone, or it was full.
             BatchEnd::NotSent | BatchEnd::Rejected => server.busy_until = now + REJECTED_PAUSE,
             BatchEnd::OtherServer | BatchEnd::NoAnswer | BatchEnd::ConnectionLost => {
                 server.record_loss(now);
@@ -148,10 +147,11 @@
         now: Duration,
     ) {
         let other_calls = reported.map_or(0, |load| load.running + load.waiting);
-        let is_gone = |end: &PieceEnd| *end == PieceEnd::InputMissing;
-        let has_gone = matches!(end, BatchEnd::Pieces(ends) if ends.iter().any(is_gone));
+        let is_missing = |end: &PieceEnd| *end == PieceEnd::InputMissing;
+        let has_missing_input =
+            matches!(end, BatchEnd::Pieces(ends) if ends.iter().any(is_missing));
         // A missing input alone may have other reasons; a call that waited in a queue is also slow.
-        let has_waited = has_gone && self.was_slow(batch, now);
+        let has_waited = has_missing_input && self.was_slow(batch, now);
         if other_calls == 0 && !has_waited && *end != BatchEnd::Rejected {
             return;
         }
--- a/crates/core/src/process/batcher/estimate.rs
+++ b/crates/core/src/process/batcher/estimate.rs
@@ -189,15 +189,15 @@
 
 /// Latest start of each stage that still meets the target latency.
 fn latest_starts(job_spec: &JobSpec, calls: &[Duration], now: Duration) -> Vec<Duration> {
-    let aim_at = (now + job_spec.target_latency_left).saturating_sub(job_spec.engine_time);
-    let mut starts = vec![aim_at; job_spec.stages.len()];
+    let target_at = (now + job_spec.target_latency_left).saturating_sub(job_spec.engine_time);
+    let mut starts = vec![target_at; job_spec.stages.len()];
     for index in (0..job_spec.stages.len()).rev() {
         let dependents = job_spec.stages.iter().enumerate();
         let dependents = dependents.filter(|(_, stage)| stage.depends_on.contains(&index));
         let end = dependents
             .map(|(later, _)| starts[later])
             .min()
-            .unwrap_or(aim_at);
+            .unwrap_or(target_at);
         starts[index] = end.saturating_sub(calls[index]);
     }
     starts
--- a/crates/core/src/process/batcher/fill.rs
+++ b/crates/core/src/process/batcher/fill.rs
@@ -121,7 +121,7 @@
         let mut batches = Vec::new();
         for (index, (_, server)) in available.iter().enumerate() {
             let servers_left = available.len() - index;
-            // The time of a call grows with its pieces, so free servers target_size the waiting pieces,
+            // The time of a call grows with its pieces, so free servers share the waiting pieces,
             // unless the smaller calls would leave the servers unable to keep up with arriving
             // work.
             let target_size = waiting_pieces.div_ceil(servers_left).max(min_pieces);
--- a/crates/core/src/process/batcher/late.rs
+++ b/crates/core/src/process/batcher/late.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Gives up late jobs that would reach their time limit anyway, the last in order first.
+    /// Gives up late jobs that cannot complete before their time limit, the last in order first.
     ///
     /// Guards against a long overload, as after an outage of the store: late jobs would wait in
     /// vain until their time limit, although their callers could have retried long before. Each job
--- a/crates/core/src/process/batcher/pool_state.rs
+++ b/crates/core/src/process/batcher/pool_state.rs
@@ -83,21 +83,21 @@
         }
     }
 
-    fn untracked_bytes(&self, kept_for: Duration, now: Duration) -> u64 {
-        let elapsed = now.saturating_sub(self.untracked_at).min(kept_for);
-        let left_ms = kept_for.saturating_sub(elapsed).as_millis();
-        let whole_ms = kept_for.as_millis().max(1);
+    fn untracked_bytes(&self, retention: Duration, now: Duration) -> u64 {
+        let elapsed = now.saturating_sub(self.untracked_at).min(retention);
+        let left_ms = retention.saturating_sub(elapsed).as_millis();
+        let whole_ms = retention.as_millis().max(1);
         let left = u128::from(self.untracked_bytes) * left_ms / whole_ms;
         u64::try_from(left).unwrap_or(u64::MAX)
     }
 
     /// The owner's share of the server's rate limit while it is cold or limited.
     fn send_share(&self, now: Duration) -> Option<SendShare> {
-        let bound = match self.server_availability {
+        let rate_limit = match self.server_availability {
             ServerAvailability::Cold { until, .. } if until <= now => None,
             server_availability => server_availability.rate_limit(),
         };
-        bound.map(SendRateLimit::share_of_owner)
+        rate_limit.map(SendRateLimit::share_of_owner)
     }
 
     /// Fraction of its usual calls that a server accepts under its rate limit.
@@ -199,10 +199,11 @@
                 .or_insert_with(|| StageServer::new(record, *server_availability))
                 .server_availability = *server_availability;
         }
-        let is_bounded = |server: &StageServer| server.server_availability.rate_limit().is_some();
+        let is_rate_limited =
+            |server: &StageServer| server.server_availability.rate_limit().is_some();
         let servers = &self.servers;
         self.recent_sends
-            .retain(|incarnation| servers.get(incarnation).is_some_and(is_bounded));
+            .retain(|incarnation| servers.get(incarnation).is_some_and(is_rate_limited));
     }
 
     /// Whether all its servers are in zones that operators have evacuated.
--- a/crates/core/src/process/batcher/retained_result.rs
+++ b/crates/core/src/process/batcher/retained_result.rs
@@ -54,10 +54,10 @@
         let Some(pool) = self.pools.get(&stage.service) else {
             return false;
         };
-        let kept_for = pool
+        let retention = pool
             .spec
             .map_or(Duration::ZERO, |spec| spec.result_retention);
-        pool.servers.contains_key(&piece.server) && piece.age + MIN_REMAINING_RETENTION <= kept_for
+        pool.servers.contains_key(&piece.server) && piece.age + MIN_REMAINING_RETENTION <= retention
     }
 
     /// Adds retained results to a new job and reserves their storage.
--- a/crates/core/src/process/batcher/route_values.rs
+++ b/crates/core/src/process/batcher/route_values.rs
@@ -43,8 +43,8 @@
             self.routes.clear();
         }
         let value_per_s_at = |mean: f64| {
-            let worth = FIXED_FRACTION + (1.0 - FIXED_FRACTION) * tokens / mean;
-            worth / work.as_secs_f64()
+            let value = FIXED_FRACTION + (1.0 - FIXED_FRACTION) * tokens / mean;
+            value / work.as_secs_f64()
         };
         let first = RouteMeans {
             tokens,
--- a/crates/core/src/process/fair_queue_limits.rs
+++ b/crates/core/src/process/fair_queue_limits.rs
@@ -1,6 +1,6 @@
 //! Limits of a sidecar's queue.
 
-/// Numbers of attempts at one backend server.
+/// Limits on the attempts that are queued and run at one backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FairQueueLimits {
     /// Attempts that the backend server runs at once.
--- a/crates/core/src/process/instance_view.rs
+++ b/crates/core/src/process/instance_view.rs
@@ -44,7 +44,7 @@
 pub enum StoreReader {
     /// Each entry for itself, as there are too few to benefit.
     Each,
-    /// This entry, for all.
+    /// This entry, for all entries of the zone.
     This,
     /// Another entry, with its address.
     Other(InstanceId, SocketAddr),
--- a/crates/core/src/process/organisation_limits.rs
+++ b/crates/core/src/process/organisation_limits.rs
@@ -34,7 +34,7 @@
 struct Bucket {
     tokens: f64,
     filled_at: Option<Duration>,
-    promised_at: Duration,
+    last_retry_at: Duration,
     in_flight: u32,
 }
 
@@ -127,21 +127,22 @@
         }
         Err(Refusal::new(
             ResultCode::OverLimit,
-            self.promise_token(share_per_s, now),
+            self.retry_delay_ms(share_per_s, now),
         ))
     }
 
-    /// Reserves a future token for a refused caller; returns the time until then in milliseconds.
+    /// Gives each refused caller the time of another future token; returns the delay in
+    /// milliseconds.
     ///
     /// If all refused callers were told the time of the next token, they would all return for it,
     /// and most would be refused again and again until their deadlines had passed.
-    fn promise_token(&mut self, share_per_s: f64, now: Duration) -> u64 {
+    fn retry_delay_ms(&mut self, share_per_s: f64, now: Duration) -> u64 {
         let next =
             now + Duration::from_secs_f64(((1.0 - self.tokens) / share_per_s).min(MAX_WAIT_S));
         let interval = Duration::from_secs_f64((1.0 / share_per_s).min(MAX_WAIT_S));
         let latest = now + Duration::from_secs_f64(MAX_WAIT_S);
-        self.promised_at = next.max(self.promised_at + interval).min(latest);
-        let wait = self.promised_at.saturating_sub(now);
+        self.last_retry_at = next.max(self.last_retry_at + interval).min(latest);
+        let wait = self.last_retry_at.saturating_sub(now);
         u64::try_from(wait.as_millis()).unwrap_or(u64::MAX).max(1)
     }
 
--- a/crates/core/src/process/recent_sends.rs
+++ b/crates/core/src/process/recent_sends.rs
@@ -112,9 +112,9 @@
         Some(next_at(&sends.chosen_at).max(next_at(&sends.sent_at)))
     }
 
-    /// Removes servers whose send rate is not limited any more.
-    pub fn retain(&mut self, is_bounded: impl Fn(&ServerIncarnation) -> bool) {
-        self.by_server.retain(|server, _| is_bounded(server));
+    /// Keeps only the servers that the predicate selects.
+    pub fn retain(&mut self, is_wanted: impl Fn(&ServerIncarnation) -> bool) {
+        self.by_server.retain(|server, _| is_wanted(server));
     }
 }
 
--- a/crates/core/src/process/router.rs
+++ b/crates/core/src/process/router.rs
@@ -305,8 +305,8 @@
             .max_by_key(|host| rendezvous::score(prefix, host))?;
         let count = u32::try_from(hosts.len()).unwrap_or(u32::MAX);
         let total: f64 = hosts.iter().map(|host| self.load(host, now)).sum();
-        let bound = total / f64::from(count) + AFFINITY_SLACK;
-        (self.load(holder, now) <= bound).then(|| holder.clone())
+        let max_load = total / f64::from(count) + AFFINITY_SLACK;
+        (self.load(holder, now) <= max_load).then(|| holder.clone())
     }
 
     fn less_loaded(&mut self, hosts: &[HostId], now: Duration) -> Option<HostId> {
--- a/crates/core/src/process/send_share.rs
+++ b/crates/core/src/process/send_share.rs
@@ -120,7 +120,8 @@
             return Self::NONE;
         }
         if senders == entries.len() {
-            // With few senders, they also share what rounding to whole sends leaves over.
+            // With few entries all of them send, and also share what rounding to whole sends leaves
+            // over.
             return Self::of_rate(used_per_s / as_f64(senders));
         }
         Self::of_rate(sends.min(used_per_s))
--- a/crates/core/src/process/server_availability.rs
+++ b/crates/core/src/process/server_availability.rs
@@ -12,11 +12,11 @@
 /// What may be sent to a server now.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ServerAvailability {
-    /// Any requests.
+    /// Requests without a limit.
     Free,
     /// A limited rate until a time: it has just started, or its zone was just taken back.
     Cold {
-        /// When it accepts any requests again, by the clock of the process.
+        /// When it accepts requests without a limit again, by the clock of the process.
         until: Duration,
         /// Requests that may reach it in any second, from all entries together.
         max_per_s: f64,
--- a/crates/core/src/process/server_list.rs
+++ b/crates/core/src/process/server_list.rs
@@ -267,8 +267,8 @@
 
     /// Servers of a service that may be used, including cold ones.
     pub fn usable<'a>(&'a self, service: &'a ServiceId) -> impl Iterator<Item = &'a ServerRecord> {
-        let staying = self.not_leaving(service);
-        staying.filter(|record| !self.zones.is_evacuated(&record.zone))
+        let not_leaving = self.not_leaving(service);
+        not_leaving.filter(|record| !self.zones.is_evacuated(&record.zone))
     }
 
     /// Whether an incarnation of a server may be used, even if it is cold.
--- a/crates/core/src/process/server_selector.rs
+++ b/crates/core/src/process/server_selector.rs
@@ -1,11 +1,11 @@
 //! Selects a backend server for a direct send.
 //!
 //! Plain requests go to the server with the shortest expected wait, by the entry's own count in
-//! flight and the reported load. Engine requests go to the engine that has read the shared part of
-//! their prompt before, the same from every entry, unless that engine is nearly full and has much
-//! more in flight than the others. Cold servers are selected only if no other server has capacity,
-//! as they are slow and accept few requests. A server that fails several times in a row is ejected
-//! for a while, but never more than half of them.
+//! flight and the reported load. Engine requests go to the engine that has read the shared prefix
+//! of their prompt before, the same from every entry, unless that engine is nearly full and has
+//! much more in flight than the others. Cold servers are selected only if no other server has
+//! capacity, as they are slow and accept few requests. A server that fails several times in a row
+//! is ejected for a while, but never more than half of them.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -227,7 +227,7 @@
         recent_time_ms * (1.0 + ahead / slots) + zone_cost_ms
     }
 
-    /// The engine for a prompt, by the name of its last shared part.
+    /// The engine for a prompt, by the id of the last prefix that it shares with other requests.
     #[must_use]
     pub fn select_engine<'a>(
         &self,
--- a/crates/core/src/process/shared_retry_budget.rs
+++ b/crates/core/src/process/shared_retry_budget.rs
@@ -29,7 +29,7 @@
 struct Bucket {
     number: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// One entry's share of a service's retries.
@@ -40,8 +40,8 @@
 /// use std::time::Duration;
 /// use amaranthscale_core::process::{RetryBudgetSettings, SharedRetryBudget};
 ///
-/// let terms = RetryBudgetSettings { ratio: 0.2, slack: 10.0, window: Duration::from_secs(10) };
-/// let mut budget = SharedRetryBudget::new(terms);
+/// let settings = RetryBudgetSettings { ratio: 0.2, slack: 10.0, window: Duration::from_secs(10) };
+/// let mut budget = SharedRetryBudget::new(settings);
 /// let now = Duration::from_secs(5);
 /// let taken = (0..20).filter(|_| budget.try_retry(2, now)).count();
 /// assert_eq!(taken, 3);
@@ -67,13 +67,13 @@
         self.bucket(now).requests += 1;
     }
 
-    /// Takes one retry if one is left to one of `live` entries.
+    /// Takes one retry, if this entry has one left as one of `live` entries.
     pub fn try_retry(&mut self, live: usize, now: Duration) -> bool {
         self.drop_old(now);
         if self.remaining(live) < 1.0 {
             return false;
         }
-        self.bucket(now).repeats += 1;
+        self.bucket(now).retries += 1;
         true
     }
 
@@ -82,9 +82,9 @@
     pub fn remaining(&self, live: usize) -> f64 {
         let live = as_f64(live.max(1));
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
-        let repeats: u32 = self.buckets.iter().map(|bucket| bucket.repeats).sum();
+        let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         let allowed = f64::from(requests) * self.settings.ratio + self.settings.slack / live;
-        allowed * USED_FRACTION - f64::from(repeats)
+        allowed * USED_FRACTION - f64::from(retries)
     }
 
     fn bucket(&mut self, now: Duration) -> &mut Bucket {
@@ -98,7 +98,7 @@
             self.buckets.push_back(Bucket {
                 number,
                 requests: 0,
-                repeats: 0,
+                retries: 0,
             });
         }
         let last = self.buckets.len() - 1;
--- a/crates/core/src/process/zone_states.rs
+++ b/crates/core/src/process/zone_states.rs
@@ -63,8 +63,8 @@
             }
             ZoneState::InUse => {
                 self.evacuated.remove(zone);
-                // The zone may be known as in use here: its evacuation was missed, as during a
-                // network partition.
+                // Recorded even if the zone counts as in use here: its evacuation may have been
+                // missed, as during a network partition.
                 self.taken_back.insert(zone.clone(), now);
                 true
             }
--- a/crates/core/tests/batcher/burst.rs
+++ b/crates/core/tests/batcher/burst.rs
@@ -1,4 +1,4 @@
-//! What a burst costs the owner: the number of waiting stages it examines.
+//! What a burst costs the owner: the number of waiting stages it examines, whatever they wait for.
 
 use amaranthscale_core::process::JobEvent;
 
--- a/crates/core/tests/batcher/fixture.rs
+++ b/crates/core/tests/batcher/fixture.rs
@@ -96,11 +96,12 @@
         });
         let records: Vec<_> = records.collect();
         let availabilities = &self.availabilities;
-        let with_use = records.iter().map(|record| {
+        let with_availability = records.iter().map(|record| {
             let availability = availabilities.get(record.zone.as_str()).copied();
             (record, availability.unwrap_or(ServerAvailability::Free))
         });
-        self.batcher.set_servers(&routing, with_use, self.now);
+        self.batcher
+            .set_servers(&routing, with_availability, self.now);
     }
 
     pub fn advance(&mut self, step_ms: u64) {
--- a/crates/core/tests/batcher/random.rs
+++ b/crates/core/tests/batcher/random.rs
@@ -247,8 +247,8 @@
 
 #[test]
 fn random_runs_keep_the_invariants() {
-    let asked = std::env::var("AMARANTH_RANDOM_SCHEDULES").ok();
-    let runs = asked
+    let requested_runs = std::env::var("AMARANTH_RANDOM_SCHEDULES").ok();
+    let runs = requested_runs
         .and_then(|runs| runs.parse().ok())
         .unwrap_or(DEFAULT_RUNS);
     for seed in 0..runs {
--- a/crates/core/tests/batcher/scheduling.rs
+++ b/crates/core/tests/batcher/scheduling.rs
@@ -7,11 +7,11 @@
 #[test]
 fn pieces_of_several_requests_share_a_call() {
     let mut fixture = Fixture::new(&["north"]);
-    let orders = [
+    let specs = [
         fixture.chain(&[(ENCODE, 2, 100)]),
         fixture.chain(&[(ENCODE, 3, 100)]),
     ];
-    for spec in orders {
+    for spec in specs {
         fixture.submit(spec);
     }
 
@@ -221,8 +221,8 @@
     assert!(refused.retry_after >= ms(300));
 }
 
-/// A caller names a number of pieces that would take all of the owner's memory, or a configuration
-/// has stages that depend on each other.
+/// A caller names a number of pieces that would take all of the owner's memory, which would end the
+/// batches of all gateways, or a configuration has stages that depend on each other.
 #[test]
 fn an_invalid_job_is_refused() {
     let mut fixture = Fixture::new(&["north"]);
