--- a/crates/amaranthscale/src/gateway/dialect.rs
+++ b/crates/amaranthscale/src/gateway/dialect.rs
@@ -36,7 +36,7 @@
     pub key: HeaderName,
     /// The organisation, forwarded to the server.
     pub organisation: HeaderName,
-    /// The server that the request is meant for.
+    /// The server incarnation that the request is meant for.
     pub target: HeaderName,
     /// The server's stamp on an answer.
     pub stamp: HeaderName,
--- a/crates/amaranthscale/src/gateway/gateway_config.rs
+++ b/crates/amaranthscale/src/gateway/gateway_config.rs
@@ -19,7 +19,7 @@
     pub caller_address: SocketAddr,
     /// Listening address for readiness checks.
     pub ready_address: SocketAddr,
-    /// What it announces to the other gateways: its address and its CPU share.
+    /// What it announces to the other gateways: its address, CPU share and zone.
     pub announcement: Announcement,
     /// Listening address for metrics.
     pub metrics_address: Option<SocketAddr>,
--- a/crates/amaranthscale/src/gateway/process/monitor_unresponsive.rs
+++ b/crates/amaranthscale/src/gateway/process/monitor_unresponsive.rs
@@ -13,8 +13,8 @@
 /// Interval between two checks of unresponsive gateways; shorter than the time for which a gateway
 /// counts as unresponsive, so that one that does not answer stays so.
 const PROBE_INTERVAL: Duration = Duration::from_millis(900);
-/// Number of other gateways to try before an owner is displaced; more than one, as a second gateway
-/// may have failed at the same time.
+/// Maximum number of other gateways to try before an owner is displaced; more than one, as a second
+/// gateway may have failed at the same time.
 const MAX_REACHABILITY_PROBES: usize = 3;
 
 /// Withdraws the announcements of gateways that this one replaces as batch owner, and checks
@@ -58,7 +58,7 @@
 /// Whether another gateway answers, or there is none.
 ///
 /// To a gateway that is itself cut off, but not from the store, all others look unresponsive; it
-/// must not displace the batch owner of all others.
+/// must not displace the batch owner that all others use.
 async fn reaches_any_gateway(context: &GatewayContext) -> bool {
     let others = context.cluster_view.live_others();
     for (id, address) in others.iter().take(MAX_REACHABILITY_PROBES) {
--- a/crates/amaranthscale/src/gateway/process/run_job.rs
+++ b/crates/amaranthscale/src/gateway/process/run_job.rs
@@ -58,7 +58,7 @@
 
 /// Runs a job, or fails in time for a retry if none of it was begun.
 ///
-/// An owner abandons a job that it has not begun after twice the latency target. An owner too busy
+/// An owner abandons a job that it has not begun after twice the target latency. An owner too busy
 /// to do that would leave the request waiting until its caller's deadline, so the wait for a first
 /// update is limited here as well.
 pub(crate) async fn run_job(
--- a/crates/amaranthscale/src/gateway/request/engine_run.rs
+++ b/crates/amaranthscale/src/gateway/request/engine_run.rs
@@ -69,7 +69,8 @@
     /// Retained by their servers; `None` where the request needs none.
     ///
     /// An engine that rejects a request has not consumed them, so the next engine uses them.
-    /// Recomputed, they would be ready only after the latency target, and the first ones be wasted.
+    /// If they were recomputed, they would be ready only after the target latency, and the first
+    /// ones would be wasted.
     Retained(Option<JobResults>),
 }
 
--- a/crates/amaranthscale/src/gateway/version/cluster_view.rs
+++ b/crates/amaranthscale/src/gateway/version/cluster_view.rs
@@ -288,8 +288,8 @@
         }
     }
 
-    /// Updates the number of cells if the number of servers requires it. An evacuation does not
-    /// change it, as the servers are in use again when the zone is taken back.
+    /// Updates the number of cells if the number of servers requires it. Servers of evacuated zones
+    /// count, so that the cells are the same again when a zone is taken back.
     fn update_cells(&mut self) {
         let Some(routing) = &self.routing else {
             return;
--- a/crates/amaranthscale/src/gateway/version/feed.rs
+++ b/crates/amaranthscale/src/gateway/version/feed.rs
@@ -40,7 +40,7 @@
 /// part of the smallest host's memory.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 /// Size from which answers and configurations are decoded on a blocking thread and logged; decoding
-/// one takes about a millisecond.
+/// one of this size takes about a millisecond.
 pub(super) const LONG_ANSWER_BYTES: usize = 64 * 1024;
 
 /// An event of a feed.
--- a/crates/amaranthscale/src/gateway/version/store_write.rs
+++ b/crates/amaranthscale/src/gateway/version/store_write.rs
@@ -18,7 +18,7 @@
     store: &StoreApi,
     request: Request<Full<Bytes>>,
 ) -> Result<(), String> {
-    write_store_if(store, request).await.map(|_is_made| ())
+    write_store_if(store, request).await.map(|_is_applied| ())
 }
 
 /// Makes a write, and retries it after a pause until the store accepts it; calls `on_failure` for
--- a/crates/amaranthscale/src/gateway/version/zone_reader_client.rs
+++ b/crates/amaranthscale/src/gateway/version/zone_reader_client.rs
@@ -23,9 +23,9 @@
 pub const ROWS_PATH: &str = "/rows/";
 /// Time for the round trip to a gateway and for its processing.
 const ROUND_TRIP_MARGIN: Duration = Duration::from_millis(300);
-/// Initial time for which a zone reader without newer rows is excluded. Within it, the gateway is
-/// removed from the list of gateways if it failed, or its next call shows whether it reaches the
-/// store.
+/// Initial time for which a zone reader that failed or had no newer rows is excluded. Within it,
+/// the gateway is removed from the list of gateways if it ended, or its next call shows whether it
+/// reaches the store.
 const EXCLUSION_TIME: Duration = Duration::from_secs(3);
 /// Maximum number of doublings of that time for one that fails again soon afterwards. Each attempt
 /// at a zone reader that stays cut off costs a call to the store by each gateway of the zone.
@@ -56,7 +56,7 @@
     reader: StoreReader,
 }
 
-/// Exclusion of a zone reader that had no newer rows.
+/// Exclusion of a zone reader that failed or had no newer rows.
 #[derive(Debug, Clone, Copy)]
 struct Exclusion {
     until: Duration,
