--- a/crates/core/src/version/conditional_write.rs
+++ b/crates/core/src/version/conditional_write.rs
@@ -8,7 +8,7 @@
 //!
 //! | row version | write id | previous write id | step |
 //! |---|---|---|---|
-//! | below `expected` | any | any | read again: this read is older than the write |
+//! | below `expected` | any | any | read again: older than the row that the write is based on |
 //! | `expected` | any | any | send the same write again |
 //! | `expected` + 1 | ours | any | won |
 //! | `expected` + 1 | another | any | lost |
--- a/crates/core/src/version/routing/key_holder.rs
+++ b/crates/core/src/version/routing/key_holder.rs
@@ -11,7 +11,7 @@
     pub organisation: OrganisationId,
     /// Keys that its callers may send.
     pub keys: Vec<String>,
-    /// Priority of its requests, 0 first; overrides the route's.
+    /// Priority of its requests, 0 first; compared before the route's.
     pub priority: Option<u8>,
 }
 
--- a/crates/core/src/version/table_copy.rs
+++ b/crates/core/src/version/table_copy.rs
@@ -2,7 +2,7 @@
 //!
 //! The copy has the store's rows with the store's own versions and clock, so that a reader gets the
 //! same data as from the store itself, and its age. Dropped rows are retained for some time;
-//! changes since an earlier version are answered with the whole table.
+//! changes since a version before that are answered with the whole table.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/core/src/version/tree_check.rs
+++ b/crates/core/src/version/tree_check.rs
@@ -14,7 +14,7 @@
 
 /// Maximum ancestors of an organisation; deeper trees are mistakes, and each level costs a look-up.
 pub const MAX_DEPTH: usize = 32;
-/// Maximum deadline; answers are retained for one day.
+/// Maximum deadline; answers are retained for one day, so a longer one could outlast its answer.
 pub const MAX_DEADLINE_MS: u64 = 24 * 60 * 60 * 1000;
 /// Maximum rate limit; above it the entries' counters would lose their meaning.
 pub const MAX_LIMIT_PER_SECOND: f64 = 1_000_000.0;
