--- a/crates/standins/examples/evacuation.rs
+++ b/crates/standins/examples/evacuation.rs
@@ -39,7 +39,7 @@
         .into_iter()
         .collect::<Result<_, _>>()?;
     let plan = DeploymentPlan::new(SettingsTree::from_json(TREE)?)
-        .across(zones)
+        .with_zones(zones)
         .with_backends("grower-ledger".parse()?, kind, 2, 8);
     let deployment = Deployment::start(plan).await?;
     let entry = deployment.entries().next().ok_or("no entry has started")?;
--- a/crates/standins/examples/quickstart.rs
+++ b/crates/standins/examples/quickstart.rs
@@ -64,7 +64,7 @@
     };
     let pool = |count: u32, slots: u32| (BackendKind::Engine(engine), count, slots);
     let mut plan = DeploymentPlan::new(SettingsTree::from_json(TREE)?)
-        .across(vec!["north-yard".parse()?, "south-yard".parse()?]);
+        .with_zones(vec!["north-yard".parse()?, "south-yard".parse()?]);
     for (service, (kind, count, slots)) in [
         ("encoders", pool(2, 8)),
         ("retrievers", pool(2, 8)),
--- a/crates/standins/src/acceptor.rs
+++ b/crates/standins/src/acceptor.rs
@@ -6,14 +6,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
 
-use crate::http::{Running, StopSignal};
+use crate::http::{RunningStandin, StopSignal};
 
 /// Listens at an address and serves each connection in a task of its own.
 pub(crate) async fn start_acceptor<S, F>(
     listen: SocketAddr,
     stop: StopSignal,
     serve: S,
-) -> io::Result<Running>
+) -> io::Result<RunningStandin>
 where
     S: Fn(TcpStream) -> F + Send + 'static,
     F: Future<Output = ()> + Send + 'static,
@@ -21,7 +21,7 @@
     let listener = TcpListener::bind(listen).await?;
     let address = listener.local_addr()?;
     let task = tokio::spawn(accept(listener, stop.clone(), serve));
-    Ok(Running::new(address, stop, task))
+    Ok(RunningStandin::new(address, stop, task))
 }
 
 /// Accepts until the stop signal; returning drops the set, which aborts all connections.
--- a/crates/standins/src/bin/standin-relay.rs
+++ b/crates/standins/src/bin/standin-relay.rs
@@ -41,6 +41,6 @@
     let mut relay = Relay::start(settings).await?;
     print_ready(format!("listening {}", relay.address()))?;
     print_ready(format!("admin {}", relay.admin_address()))?;
-    relay.ended().await;
+    relay.wait_until_stopped().await;
     Ok(())
 }
--- a/crates/standins/src/command.rs
+++ b/crates/standins/src/command.rs
@@ -8,7 +8,7 @@
 use clap::{Arg, ArgMatches, Command, value_parser};
 use tokio::signal::unix::{SignalKind, signal};
 
-use crate::http::Running;
+use crate::http::RunningStandin;
 
 /// Default listening address: any free loopback port.
 const DEFAULT_LISTEN: &str = "127.0.0.1:0";
@@ -37,7 +37,7 @@
 
 /// Runs a stand-in as a program: prints its address, then serves until it stops or SIGTERM.
 #[must_use]
-pub fn run(start: impl Future<Output = io::Result<Running>>) -> ExitCode {
+pub fn run(start: impl Future<Output = io::Result<RunningStandin>>) -> ExitCode {
     run_until_terminated(serve(start))
 }
 
@@ -62,10 +62,10 @@
     stdout.flush()
 }
 
-async fn serve(start: impl Future<Output = io::Result<Running>>) -> io::Result<()> {
+async fn serve(start: impl Future<Output = io::Result<RunningStandin>>) -> io::Result<()> {
     let mut running = start.await?;
     print_ready(format!("listening {}", running.address()))?;
-    running.ended().await;
+    running.wait_until_stopped().await;
     Ok(())
 }
 
--- a/crates/standins/src/deployment.rs
+++ b/crates/standins/src/deployment.rs
@@ -1,7 +1,7 @@
 //! A whole deployment in one process: stand-ins, sidecars and entries on loopback ports.
 //!
-//! The daemons are the real ones, embedded; only the platform and the backend servers are
-//! stand-ins. The quickstart, tests and measurements start from here.
+//! Entries and sidecars are the real daemons, embedded; only the platform and the backend servers
+//! are stand-ins. The quickstart, tests and measurements are built on this module.
 
 mod backend_plan;
 mod deployment_error;
@@ -26,30 +26,31 @@
 #[doc(inline)]
 pub use running_backend::RunningBackend;
 
-use crate::http::{HttpClient, Running};
+use crate::http::{HttpClient, RunningStandin};
 use crate::platform::{Platform, PlatformSettings};
 
-/// Bearer key of the operators of an embedded deployment.
+/// Operators' bearer key of an embedded deployment.
 pub const OPERATOR_KEY: &str = "operator-demo-key";
 
-/// Longest wait for an entry to have tree and hosts.
-const READY_BOUND: Duration = Duration::from_secs(30);
-/// Time between two looks at whether an entry is ready.
-const READY_PAUSE: Duration = Duration::from_millis(20);
-/// Longest graceful stop of an entry.
-const STOP_BOUND: Duration = Duration::from_secs(10);
+/// Timeout for an entry to have the tree and the hosts.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time between two checks whether an entry is ready.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of an entry's graceful stop.
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A running deployment.
 #[derive(Debug)]
 pub struct Deployment {
-    platform: Running,
+    platform: RunningStandin,
     backends: Vec<RunningBackend>,
     entries: Vec<Entry>,
     http: HttpClient,
 }
 
 impl Deployment {
-    /// Starts everything in order: platform, backend servers with their sidecars, entries, tree.
+    /// Starts, in this order, the platform, the backend servers with their sidecars and the
+    /// entries, and imports the tree.
     pub async fn start(plan: DeploymentPlan) -> Result<Self, DeploymentError> {
         let platform = Platform::start(PlatformSettings::default()).await?;
         let http = HttpClient::new();
@@ -72,7 +73,7 @@
         self.platform.address()
     }
 
-    /// Addresses at which callers and operators reach the entries.
+    /// Addresses of the entries for callers and operators.
     pub fn entries(&self) -> impl Iterator<Item = SocketAddr> {
         self.entries.iter().map(Entry::address)
     }
@@ -83,11 +84,12 @@
         &self.backends
     }
 
-    /// Stops entries first, then sidecars, then backend servers, each gracefully.
+    /// Stops the entries, then each sidecar and its backend server, then the platform; whether all
+    /// drained in time.
     pub async fn stop(self) -> bool {
         let mut is_drained = true;
         for entry in self.entries {
-            is_drained &= entry.stop(STOP_BOUND).await;
+            is_drained &= entry.stop(STOP_TIMEOUT).await;
         }
         for backend in self.backends {
             is_drained &= backend.stop().await;
@@ -122,7 +124,7 @@
             let zone = plan.zone(number).clone();
             let config = EntryConfig {
                 operator_key: Some(KeyHash::of(OPERATOR_KEY)),
-                host_poll_interval: plan.host_poll,
+                host_poll_interval: plan.host_poll_interval,
                 seed: plan.seed.wrapping_add(u64::from(number)),
                 ..EntryConfig::new(host.clone(), zone.clone(), self.platform())
             };
@@ -168,7 +170,7 @@
             .await?;
         if !reply.status.is_success() {
             let text = String::from_utf8_lossy(&reply.body).into_owned();
-            return Err(DeploymentError::Refused(text));
+            return Err(DeploymentError::TreeRefused(text));
         }
         Ok(())
     }
@@ -178,16 +180,16 @@
         let hosts = self.backends.len() + self.entries.len();
         for address in self.entries() {
             let url = format!("http://{address}/status");
-            let waiting = async {
+            let polling = async {
                 loop {
                     let status: serde_json::Value = self.http.get_json(&url).await?;
                     if status["decisions"]["hosts"].as_u64() == Some(hosts as u64) {
                         return Ok(());
                     }
-                    tokio::time::sleep(READY_PAUSE).await;
+                    tokio::time::sleep(READY_POLL_INTERVAL).await;
                 }
             };
-            let waited = tokio::time::timeout(READY_BOUND, waiting).await;
+            let waited = tokio::time::timeout(READY_TIMEOUT, polling).await;
             waited.unwrap_or(Err(DeploymentError::NotReady))?;
         }
         Ok(())
@@ -198,11 +200,11 @@
             for entry in &self.entries {
                 let mut in_force = entry.tree().in_force();
                 entry.tree().clone().ready().await;
-                // The sender lives as long as the entry.
+                // The entry owns the sender, so this cannot fail.
                 let _ = in_force.wait_for(|tree| tree.version() >= version).await;
             }
         };
-        let waited = tokio::time::timeout(READY_BOUND, waiting).await;
+        let waited = tokio::time::timeout(READY_TIMEOUT, waiting).await;
         waited.map_err(|_elapsed| DeploymentError::NotReady)
     }
 }
--- a/crates/standins/src/deployment/backend_plan.rs
+++ b/crates/standins/src/deployment/backend_plan.rs
@@ -5,7 +5,7 @@
 use crate::engine::EngineSettings;
 use crate::service::ServiceSettings;
 
-/// What stands in for a backend server.
+/// Kind of stand-in for a backend server.
 #[derive(Debug, Clone)]
 pub enum BackendKind {
     /// A model engine, or a pool of encoders, retrievers or rerankers.
@@ -14,15 +14,15 @@
     Service(ServiceSettings),
 }
 
-/// Backend servers of one service, all alike.
+/// Backend servers of one service, all with the same settings.
 #[derive(Debug, Clone)]
 pub struct BackendPlan {
-    /// Service that they serve.
+    /// Service of the servers.
     pub service: ServiceId,
-    /// What stands in for them.
+    /// Kind of stand-in.
     pub kind: BackendKind,
-    /// How many there are.
+    /// Number of servers.
     pub count: u32,
-    /// Attempts that each takes at once.
+    /// Attempts that each server runs at once.
     pub slots: u32,
 }
--- a/crates/standins/src/deployment/deployment_error.rs
+++ b/crates/standins/src/deployment/deployment_error.rs
@@ -1,4 +1,4 @@
-//! Why a deployment did not start.
+//! Errors of starting a deployment.
 
 use std::io;
 
@@ -37,20 +37,20 @@
             source(cause)
             from()
         }
-        /// A host's name cannot be used.
+        /// A host's name is invalid.
         Name(cause: InvalidName) {
             display("{cause}")
             source(cause)
             from()
         }
-        /// A message cannot be written.
+        /// A message cannot be serialised.
         Json(cause: serde_json::Error) {
             display("{cause}")
             source(cause)
             from()
         }
-        /// The tree was refused.
-        Refused(text: String) {
+        /// The entry refused the tree.
+        TreeRefused(text: String) {
             display("the tree was refused: {text}")
         }
         /// An entry did not become ready.
--- a/crates/standins/src/deployment/deployment_plan.rs
+++ b/crates/standins/src/deployment/deployment_plan.rs
@@ -1,4 +1,4 @@
-//! What a deployment consists of.
+//! Components and settings of a deployment.
 
 use std::time::Duration;
 
@@ -7,21 +7,21 @@
 
 use super::{BackendKind, BackendPlan};
 
-/// What a deployment consists of.
+/// Components and settings of a deployment.
 #[derive(Debug, Clone)]
 pub struct DeploymentPlan {
     /// Settings tree to import.
     pub tree: SettingsTree,
     /// Region of all hosts.
     pub region: RegionId,
-    /// Availability zones over which hosts are spread in turn; at least one.
+    /// Availability zones over which hosts are distributed round-robin; at least one.
     pub zones: Vec<ZoneId>,
     /// Number of entries.
     pub entries: u32,
     /// Backend servers by service.
     pub backends: Vec<BackendPlan>,
-    /// Time between two looks at the host list.
-    pub host_poll: Duration,
+    /// Time between two reads of the host list.
+    pub host_poll_interval: Duration,
     /// Seed of random choices.
     pub seed: u64,
 }
@@ -40,7 +40,7 @@
             zones: vec!["zone-1".parse().expect("a valid name")],
             entries: 1,
             backends: Vec::new(),
-            host_poll: Duration::from_millis(200),
+            host_poll_interval: Duration::from_millis(200),
             seed: 1,
         }
     }
@@ -70,9 +70,9 @@
         self
     }
 
-    /// Spreads hosts over availability zones.
+    /// Distributes hosts over availability zones.
     #[must_use]
-    pub fn across(mut self, zones: Vec<ZoneId>) -> Self {
+    pub fn with_zones(mut self, zones: Vec<ZoneId>) -> Self {
         self.zones = zones;
         self
     }
--- a/crates/standins/src/deployment/running_backend.rs
+++ b/crates/standins/src/deployment/running_backend.rs
@@ -9,10 +9,10 @@
 
 use super::{BackendKind, BackendPlan, DeploymentError};
 use crate::engine::{Engine, EngineSettings};
-use crate::http::Running;
+use crate::http::RunningStandin;
 use crate::service::{Service, ServiceSettings};
 
-/// Queue places for each slot of a backend server.
+/// Queue capacity per slot of a backend server.
 const QUEUE_PER_SLOT: usize = 64;
 
 /// A backend server stand-in with its sidecar.
@@ -20,12 +20,12 @@
 pub struct RunningBackend {
     host: HostId,
     service: ServiceId,
-    backend: Running,
+    backend: RunningStandin,
     sidecar: SidecarWithTree,
 }
 
 impl RunningBackend {
-    /// Starts one backend server of a plan, and a sidecar before it.
+    /// Starts one backend server of a plan, and a sidecar in front of it.
     pub async fn start(
         plan: &BackendPlan,
         number: u32,
@@ -71,7 +71,7 @@
         &self.service
     }
 
-    /// Address of the backend server, for its records and faults.
+    /// Address of the backend server, to read its records and set its faults.
     #[must_use]
     pub fn backend_address(&self) -> SocketAddr {
         self.backend.address()
@@ -89,7 +89,7 @@
         &self.sidecar
     }
 
-    /// Stops the sidecar gracefully, then the backend server.
+    /// Stops the sidecar gracefully, then the backend server; whether the sidecar drained in time.
     pub async fn stop(self) -> bool {
         let is_drained = self.sidecar.stop().await;
         self.backend.stop().await;
@@ -97,7 +97,7 @@
     }
 }
 
-async fn start_backend(kind: &BackendKind) -> Result<Running, DeploymentError> {
+async fn start_backend(kind: &BackendKind) -> Result<RunningStandin, DeploymentError> {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let running = match kind {
         BackendKind::Engine(settings) => {
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -25,7 +25,7 @@
 use std::io;
 use std::sync::Arc;
 
-use crate::http::{Running, StopSignal, start_server};
+use crate::http::{RunningStandin, StopSignal, start_server};
 
 #[doc(inline)]
 pub use cache_event::{CacheEvent, CacheEventKind};
@@ -46,7 +46,7 @@
 
 impl Engine {
     /// Starts it within this process.
-    pub async fn start(settings: EngineSettings) -> io::Result<Running> {
+    pub async fn start(settings: EngineSettings) -> io::Result<RunningStandin> {
         let listen = settings.listen;
         let stop = StopSignal::new();
         let state = Arc::new(engine_state::EngineState::new(settings, stop.clone()));
--- a/crates/standins/src/engine/engine_routes.rs
+++ b/crates/standins/src/engine/engine_routes.rs
@@ -14,7 +14,7 @@
 use crate::engine::prompt::Prompt;
 use crate::engine::{FencedOrder, Operation};
 use crate::http::{
-    Answer, Handled, Query, json, json_body, no_content, percent_decode, plain, status,
+    Answer, HandlerResult, Query, json, json_body, no_content, percent_decode, plain_text, status,
 };
 
 /// Paths of operations.
@@ -47,7 +47,7 @@
 }
 
 /// Answers one request.
-pub(crate) async fn handle(state: Arc<EngineState>, request: Request<Bytes>) -> Handled {
+pub(crate) async fn handle(state: Arc<EngineState>, request: Request<Bytes>) -> HandlerResult {
     let path = request.uri().path();
     match (request.method(), path) {
         (&Method::POST, "/admin/faults") => return Ok(set_faults(&state, request.body())),
@@ -74,7 +74,7 @@
     };
     match CallHeaders::parse(request.headers()) {
         Ok(headers) => run_call(state, operation, headers, request.body()).await,
-        Err(error) => plain(StatusCode::BAD_REQUEST, error.to_string()),
+        Err(error) => plain_text(StatusCode::BAD_REQUEST, error.to_string()),
     }
 }
 
--- a/crates/standins/src/engine/generation.rs
+++ b/crates/standins/src/engine/generation.rs
@@ -14,7 +14,7 @@
 use crate::engine::execution_log::RunningExecution;
 use crate::engine::prompt::Prompt;
 use crate::engine::slot_queue::Slot;
-use crate::http::{Answer, Chunk, ReplyBody, break_off};
+use crate::http::{Answer, Chunk, ReplyBody, cut_off};
 
 /// Lines buffered for a slow reader before generation pauses.
 const MAX_BUFFERED_LINES: usize = 64;
@@ -72,7 +72,7 @@
         };
         drop(self);
         if was_cancelled {
-            break_off(&lines).await;
+            cut_off(&lines).await;
         }
     }
 
@@ -82,7 +82,7 @@
         if self.state.faults.take_break() {
             let half = self.resume_token + end.saturating_sub(self.resume_token) / 2;
             self.generate_tokens(half, lines).await;
-            break_off(lines).await;
+            cut_off(lines).await;
         } else {
             self.generate_tokens(end, lines).await;
             self.execution.finish();
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP on both sides: the server that carries the stand-ins, and a client for tests.
+//! HTTP server of the stand-ins, and a client for tests and the load tool.
 
 mod answer;
 mod connection_closed;
@@ -8,14 +8,16 @@
 mod percent;
 mod query;
 mod reply_body;
-mod running;
+mod running_standin;
 mod server;
 mod stop_signal;
 
-pub(crate) use answer::{Answer, Handled, broken_off, json, json_body, no_content, plain, status};
+pub(crate) use answer::{
+    Answer, HandlerResult, json, json_body, no_content, plain_text, status, truncated_answer,
+};
 pub(crate) use connection_closed::ConnectionClosed;
 pub(crate) use query::Query;
-pub(crate) use reply_body::{Chunk, ReplyBody, break_off};
+pub(crate) use reply_body::{Chunk, ReplyBody, cut_off};
 pub(crate) use server::start_server;
 pub(crate) use stop_signal::StopSignal;
 
@@ -28,4 +30,4 @@
 #[doc(inline)]
 pub use percent::{percent_decode, percent_encode};
 #[doc(inline)]
-pub use running::Running;
+pub use running_standin::RunningStandin;
--- a/crates/standins/src/http/answer.rs
+++ b/crates/standins/src/http/answer.rs
@@ -1,4 +1,4 @@
-//! Builds answers.
+//! Constructors of HTTP answers.
 
 use bytes::Bytes;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
@@ -7,25 +7,25 @@
 use serde::de::DeserializeOwned;
 use tokio::sync::mpsc;
 
-use crate::http::{ConnectionClosed, ReplyBody, break_off};
+use crate::http::{ConnectionClosed, ReplyBody, cut_off};
 
-/// What a handler answers.
+/// Answer of a handler.
 pub(crate) type Answer = Response<ReplyBody>;
 
-/// An answer, or the wish to close the connection without one.
-pub(crate) type Handled = Result<Answer, ConnectionClosed>;
+/// Result of a handler: an answer, or the reason to close the connection without one.
+pub(crate) type HandlerResult = Result<Answer, ConnectionClosed>;
 
 /// An answer in JSON.
 pub(crate) fn json(status: StatusCode, value: &impl Serialize) -> Answer {
     match serde_json::to_vec(value) {
         Ok(text) => with_type(status, "application/json", text.into()),
-        Err(error) => plain(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
+        Err(error) => plain_text(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
     }
 }
 
-/// An answer with no more than a status and its usual text.
+/// An answer with a status and its standard text.
 pub(crate) fn status(status: StatusCode) -> Answer {
-    plain(status, status.to_string())
+    plain_text(status, status.to_string())
 }
 
 /// Success without a body.
@@ -33,23 +33,23 @@
     with_type(StatusCode::NO_CONTENT, "text/plain", Bytes::new())
 }
 
-/// Reads a request's body as JSON; the error is the answer to give.
+/// Parses a request's body as JSON; the error is the answer to send.
 pub(crate) fn json_body<T: DeserializeOwned>(body: &Bytes) -> Result<T, Box<Answer>> {
     let parsed = serde_json::from_slice(body);
-    parsed.map_err(|error| Box::new(plain(StatusCode::BAD_REQUEST, error.to_string())))
+    parsed.map_err(|error| Box::new(plain_text(StatusCode::BAD_REQUEST, error.to_string())))
 }
 
 /// An answer in plain text.
-pub(crate) fn plain(status: StatusCode, text: String) -> Answer {
+pub(crate) fn plain_text(status: StatusCode, text: String) -> Answer {
     with_type(status, "text/plain", text.into())
 }
 
-/// An answer that breaks off after its first bytes.
-pub(crate) fn broken_off(first: Bytes) -> Answer {
+/// An answer that is cut off after its first bytes.
+pub(crate) fn truncated_answer(first: Bytes) -> Answer {
     let (chunks, body) = mpsc::channel(1);
     tokio::spawn(async move {
         if chunks.send(Ok(first)).await.is_ok() {
-            break_off(&chunks).await;
+            cut_off(&chunks).await;
         }
     });
     Response::new(ReplyBody::Chunks(body))
--- a/crates/standins/src/http/connection_closed.rs
+++ b/crates/standins/src/http/connection_closed.rs
@@ -1,4 +1,4 @@
-//! The wish to close a connection.
+//! Reason to close a connection without a whole answer.
 
 use quick_error::quick_error;
 
@@ -6,11 +6,11 @@
     /// The connection ends without a whole answer.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum ConnectionClosed {
-        /// The caller went away before its request was whole.
+        /// The caller disconnected before its request was complete.
         ByCaller {
             display("closed by the caller")
         }
-        /// A fault asks for it.
+        /// An active fault closes the connection.
         ByFault {
             display("closed by a fault")
         }
--- a/crates/standins/src/http/http_client.rs
+++ b/crates/standins/src/http/http_client.rs
@@ -1,4 +1,4 @@
-//! A small client for tests and the load tool.
+//! A small HTTP client for tests and the load tool.
 
 use std::fmt;
 
@@ -15,26 +15,26 @@
 
 use crate::http::{HttpError, HttpReply};
 
-/// A client that sends each request at most once and sets no timeout of its own.
+/// An HTTP client that sends each request at most once and sets no timeout.
 #[derive(Clone)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpClient {
-    /// A client of HTTP/1.1.
+    /// A client for HTTP/1.1.
     #[must_use]
     pub fn new() -> Self {
         Self::build(false)
     }
 
-    /// A client of HTTP/2 with prior knowledge.
+    /// A client for HTTP/2 with prior knowledge.
     #[must_use]
     pub fn http2() -> Self {
         Self::build(true)
     }
 
-    /// Gets JSON; any status but a success is an error.
+    /// Sends a GET request and parses the answer as JSON; a status other than success is an error.
     pub async fn get_json<T: DeserializeOwned>(
         &self,
         url: impl AsRef<str>,
@@ -42,7 +42,7 @@
         self.get(url).await?.success()?.json()
     }
 
-    /// Posts JSON and reads JSON; any status but a success is an error.
+    /// Posts JSON and parses the answer as JSON; a status other than success is an error.
     pub async fn post_json<T: DeserializeOwned>(
         &self,
         url: impl AsRef<str>,
@@ -53,12 +53,12 @@
         reply.success()?.json()
     }
 
-    /// Gets an answer of any status.
+    /// Sends a GET request; an answer of any status is returned.
     pub async fn get(&self, url: impl AsRef<str>) -> Result<HttpReply, HttpError> {
         self.send(Method::GET, url, &[], Bytes::new()).await
     }
 
-    /// Posts a body with headers; takes an answer of any status.
+    /// Posts a body with headers; an answer of any status is returned.
     pub async fn post(
         &self,
         url: impl AsRef<str>,
@@ -68,7 +68,7 @@
         self.send(Method::POST, url, headers, body).await
     }
 
-    /// Puts a body; takes an answer of any status.
+    /// Sends a body with PUT; an answer of any status is returned.
     pub async fn put(
         &self,
         url: impl AsRef<str>,
@@ -89,7 +89,8 @@
         read_whole(response).await
     }
 
-    /// Sends a request and returns once the answer's head is there, to read its body step by step.
+    /// Sends a request and returns when the answer's head has arrived, so that the caller can
+    /// stream its body.
     pub async fn open(
         &self,
         method: Method,
@@ -111,7 +112,7 @@
     fn build(http2_only: bool) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        // A request whose connection breaks may have taken effect; only the caller may repeat it.
+        // A request whose connection is lost may have taken effect; only the caller may retry it.
         let client = Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
             .http2_only(http2_only)
@@ -142,7 +143,7 @@
     while let Some(frame) = incoming.frame().await {
         match frame {
             Ok(frame) => body.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new())),
-            Err(cause) => return Err(HttpError::BrokenOff(parts.status, body.freeze(), cause)),
+            Err(cause) => return Err(HttpError::Truncated(parts.status, body.freeze(), cause)),
         }
     }
     Ok(HttpReply {
--- a/crates/standins/src/http/http_error.rs
+++ b/crates/standins/src/http/http_error.rs
@@ -1,11 +1,11 @@
-//! Why a call brought no whole answer.
+//! Errors of HTTP calls.
 
 use bytes::Bytes;
 use hyper::StatusCode;
 use quick_error::quick_error;
 
 quick_error! {
-    /// A call that brought no whole answer.
+    /// An HTTP call without a complete, successful answer.
     #[derive(Debug)]
     pub enum HttpError {
         /// The request could not be built.
@@ -14,24 +14,24 @@
             source(cause)
             from()
         }
-        /// No answer came.
+        /// No answer arrived.
         NoAnswer(cause: hyper_util::client::legacy::Error) {
             display("no answer came: {cause}")
             source(cause)
             from()
         }
-        /// The answer broke off.
-        BrokenOff(status: StatusCode, arrived: Bytes, cause: hyper::Error) {
-            display("answer {status} broke off after {} bytes: {cause}", arrived.len())
+        /// The answer ended before it was complete.
+        Truncated(status: StatusCode, received: Bytes, cause: hyper::Error) {
+            display("answer {status} broke off after {} bytes: {cause}", received.len())
             source(cause)
         }
-        /// A body is not the JSON that was expected.
+        /// A body is not the expected JSON.
         BadJson(cause: serde_json::Error) {
             display("the body is not the JSON expected: {cause}")
             source(cause)
             from()
         }
-        /// The answer's status is no success.
+        /// The answer's status is not a success.
         Status(status: StatusCode, body: Bytes) {
             display("answered {status}: {}", String::from_utf8_lossy(body))
         }
--- a/crates/standins/src/http/http_reply.rs
+++ b/crates/standins/src/http/http_reply.rs
@@ -1,4 +1,4 @@
-//! A whole answer.
+//! A complete HTTP answer.
 
 use bytes::Bytes;
 use hyper::{HeaderMap, StatusCode};
@@ -6,7 +6,7 @@
 
 use crate::http::HttpError;
 
-/// A whole answer.
+/// A complete HTTP answer.
 #[derive(Debug, Clone)]
 pub struct HttpReply {
     /// Status of the answer.
@@ -18,12 +18,12 @@
 }
 
 impl HttpReply {
-    /// Reads the body as JSON, whatever the status.
+    /// Parses the body as JSON, for any status.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, HttpError> {
         Ok(serde_json::from_slice(&self.body)?)
     }
 
-    /// The answer itself, or an error unless its status is a success.
+    /// The answer itself if its status is a success, otherwise an error.
     pub fn success(self) -> Result<Self, HttpError> {
         if self.status.is_success() {
             Ok(self)
--- a/crates/standins/src/http/percent.rs
+++ b/crates/standins/src/http/percent.rs
@@ -1,18 +1,18 @@
 //! Percent encoding of keys in paths and queries.
 
-/// Characters of an escape: the sign and two digits.
+/// Length of an escape: the percent sign and two digits.
 const ESCAPE_BYTES: usize = 3;
-/// Base of the two digits of an escape.
+/// Radix of the two digits of an escape.
 const ESCAPE_RADIX: u32 = 16;
 
-/// Escapes all but the unreserved characters.
+/// Escapes all characters except the unreserved ones.
 #[must_use]
 pub fn percent_encode(text: impl AsRef<str>) -> String {
     let bytes = text.as_ref().bytes();
     bytes.map(escape).collect()
 }
 
-/// Undoes [`percent_encode`]; none for a broken escape or text that is not UTF-8.
+/// Reverses [`percent_encode`]; `None` for an invalid escape or text that is not UTF-8.
 #[must_use]
 pub fn percent_decode(text: impl AsRef<str>) -> Option<String> {
     let mut rest = text.as_ref().as_bytes();
--- a/crates/standins/src/http/query.rs
+++ b/crates/standins/src/http/query.rs
@@ -7,12 +7,12 @@
 
 use crate::http::percent_decode;
 
-/// Decoded parameters; a pair that cannot be decoded is left out.
+/// Decoded query parameters; a pair that cannot be decoded is omitted.
 #[derive(Debug)]
 pub(crate) struct Query(BTreeMap<String, String>);
 
 impl Query {
-    /// Reads the query of a URI.
+    /// Parses the query of a URI.
     pub(crate) fn of(uri: &Uri) -> Self {
         let pairs = uri.query().unwrap_or_default().split('&');
         Self(pairs.filter_map(decode_pair).collect())
@@ -23,7 +23,7 @@
         self.0.get(name).map(String::as_str)
     }
 
-    /// The parameter of this name, if it can be read.
+    /// The parameter of this name, if it can be parsed.
     pub(crate) fn parse<T: FromStr>(&self, name: &str) -> Option<T> {
         self.get(name)?.parse().ok()
     }
--- a/crates/standins/src/http/reply_body.rs
+++ b/crates/standins/src/http/reply_body.rs
@@ -1,4 +1,4 @@
-//! Body of an answer: whole, or in chunks as they come.
+//! Body of an answer: complete, or streamed in chunks.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -11,18 +11,18 @@
 
 use crate::http::ConnectionClosed;
 
-/// A chunk, or the wish to break the answer off.
+/// A chunk, or the reason to cut the answer off.
 pub(crate) type Chunk = Result<Bytes, ConnectionClosed>;
 
-/// Time for what was already sent to leave before a break, else the server would drop it too.
-const BEFORE_BREAK: Duration = Duration::from_millis(1);
+/// Delay before an answer is cut off: without it the server would also drop what was already sent.
+const FLUSH_DELAY: Duration = Duration::from_millis(1);
 
-/// Breaks an answer off, so that its reader gets what was sent and sees that it is not whole.
-pub(crate) async fn break_off(chunks: &mpsc::Sender<Chunk>) {
-    // Once there is room for all, the server has taken all chunks sent before.
-    let taken = chunks.reserve_many(chunks.max_capacity()).await;
-    drop(taken);
-    tokio::time::sleep(BEFORE_BREAK).await;
+/// Cuts an answer off, so that its reader receives what was sent and detects that it is incomplete.
+pub(crate) async fn cut_off(chunks: &mpsc::Sender<Chunk>) {
+    // When the whole capacity is free, the server has received all chunks sent before.
+    let permits = chunks.reserve_many(chunks.max_capacity()).await;
+    drop(permits);
+    tokio::time::sleep(FLUSH_DELAY).await;
     if chunks.send(Err(ConnectionClosed::ByFault)).await.is_err() {
         log::debug!("server: reader gone before the break");
     }
@@ -31,14 +31,15 @@
 /// Body of an answer.
 #[derive(Debug)]
 pub(crate) enum ReplyBody {
-    /// Known as a whole.
+    /// A complete body.
     Whole(Full<Bytes>),
-    /// Chunks in order; an error breaks the answer off, so that its reader sees it is not whole.
+    /// Chunks in order; an error cuts the answer off, so that its reader detects that it is
+    /// incomplete.
     Chunks(mpsc::Receiver<Chunk>),
 }
 
 impl ReplyBody {
-    /// A body known as a whole.
+    /// A complete body.
     pub(crate) fn whole(body: impl Into<Bytes>) -> Self {
         Self::Whole(Full::new(body.into()))
     }
--- a/crates/standins/src/http/running.rs
+++ b/crates/standins/src/http/running_standin.rs
@@ -1,4 +1,4 @@
-//! A server that runs within this process.
+//! A server within this process.
 
 use std::net::SocketAddr;
 
@@ -6,15 +6,15 @@
 
 use crate::http::StopSignal;
 
-/// A stand-in that runs; dropping it stops it.
+/// A running stand-in; dropping it stops it.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningStandin {
     address: SocketAddr,
     stop: StopSignal,
     task: JoinHandle<()>,
 }
 
-impl Running {
+impl RunningStandin {
     /// Address at which it listens.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
@@ -27,15 +27,15 @@
         format!("http://{}{}", self.address, path.as_ref())
     }
 
-    /// Stops at once: cuts all connections and frees the port.
+    /// Stops at once: closes all connections and frees the port.
     pub async fn stop(mut self) {
         self.stop.stop();
-        self.ended().await;
+        self.wait_until_stopped().await;
     }
 
-    /// Waits until it has stopped, by whatever cause.
-    pub async fn ended(&mut self) {
-        // An error would mean that the task panicked or was aborted; either way it has ended.
+    /// Waits until it has stopped, for any reason.
+    pub async fn wait_until_stopped(&mut self) {
+        // An error means that the task panicked or was aborted; in both cases it has ended.
         let _ = (&mut self.task).await;
     }
 
@@ -48,7 +48,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningStandin {
     fn drop(&mut self) {
         self.stop.stop();
     }
--- a/crates/standins/src/http/server.rs
+++ b/crates/standins/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Hands each request, body included, to a handler.
+//! HTTP server that passes each request with its complete body to a handler.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,17 +13,17 @@
 use tokio::net::TcpStream;
 
 use crate::acceptor::start_acceptor;
-use crate::http::{ConnectionClosed, Handled, Running, StopSignal};
+use crate::http::{ConnectionClosed, HandlerResult, RunningStandin, StopSignal};
 
-/// Serves HTTP/1.1 and HTTP/2 with prior knowledge until told to stop.
+/// Serves HTTP/1.1 and HTTP/2 with prior knowledge until the stop signal.
 pub(crate) async fn start_server<H, F>(
     listen: SocketAddr,
     stop: StopSignal,
     handler: H,
-) -> io::Result<Running>
+) -> io::Result<RunningStandin>
 where
     H: Fn(Request<Bytes>) -> F + Clone + Send + 'static,
-    F: Future<Output = Handled> + Send + 'static,
+    F: Future<Output = HandlerResult> + Send + 'static,
 {
     let serve = move |stream| serve_connection(stream, handler.clone());
     start_acceptor(listen, stop, serve).await
@@ -32,7 +32,7 @@
 async fn serve_connection<H, F>(stream: TcpStream, handler: H)
 where
     H: Fn(Request<Bytes>) -> F + Clone + Send + 'static,
-    F: Future<Output = Handled> + Send + 'static,
+    F: Future<Output = HandlerResult> + Send + 'static,
 {
     let service = service_fn(move |request| handle(request, handler.clone()));
     let builder = auto::Builder::new(TokioExecutor::new());
@@ -42,10 +42,10 @@
     }
 }
 
-async fn handle<H, F>(request: Request<Incoming>, handler: H) -> Handled
+async fn handle<H, F>(request: Request<Incoming>, handler: H) -> HandlerResult
 where
     H: Fn(Request<Bytes>) -> F,
-    F: Future<Output = Handled>,
+    F: Future<Output = HandlerResult>,
 {
     let (parts, body) = request.into_parts();
     let Ok(body) = body.collect().await else {
--- a/crates/standins/src/http/stop_signal.rs
+++ b/crates/standins/src/http/stop_signal.rs
@@ -1,17 +1,17 @@
-//! Tells a server to stop.
+//! Signal that stops a server.
 
 use std::sync::Arc;
 
 use tokio::sync::watch;
 
-/// Stops one server, from anywhere, once.
+/// One-time signal that stops a server; clones share it.
 #[derive(Debug, Clone)]
 pub(crate) struct StopSignal {
     stopped: Arc<watch::Sender<bool>>,
 }
 
 impl StopSignal {
-    /// A signal not yet given.
+    /// A signal that was not sent yet.
     pub(crate) fn new() -> Self {
         let (stopped, _) = watch::channel(false);
         Self {
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Gives the signal.
+    /// Sends the signal.
     pub(crate) fn stop(&self) {
         self.stopped.send_replace(true);
     }
@@ -27,7 +27,7 @@
     /// Waits for the signal.
     pub(crate) async fn stopped(&self) {
         let mut stopped = self.stopped.subscribe();
-        // The sender lives as long as `self`, so this cannot fail.
+        // `self` owns the sender, so this cannot fail.
         let _ = stopped.wait_for(|stopped| *stopped).await;
     }
 }
--- a/crates/standins/src/load/capacity/fleet.rs
+++ b/crates/standins/src/load/capacity/fleet.rs
@@ -17,7 +17,7 @@
 use super::daemon_process::DaemonProcess;
 use super::fleet_size::FleetSize;
 use crate::engine::{Engine, EngineSettings};
-use crate::http::{HttpClient, Running};
+use crate::http::{HttpClient, RunningStandin};
 use crate::platform::{Platform, PlatformCounts, PlatformSettings};
 use crate::relay::{Relay, RelayCounts, RelaySettings, RunningRelay};
 use crate::service::{Service, ServiceSettings};
@@ -47,10 +47,10 @@
 pub(super) struct Fleet {
     pub(super) size: FleetSize,
     pub(super) http: HttpClient,
-    platform: Running,
+    platform: RunningStandin,
     /// Relays between the entries, or the sidecars, and the platform: they see what the wire does.
     relays: [RunningRelay; 2],
-    backends: [Running; 2],
+    backends: [RunningStandin; 2],
     entries: Vec<DaemonProcess>,
     sidecars: Vec<DaemonProcess>,
     hosts: Vec<HostRecord>,
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -15,7 +15,7 @@
 
 use std::io;
 
-use crate::http::{Running, StopSignal, start_server};
+use crate::http::{RunningStandin, StopSignal, start_server};
 
 #[doc(inline)]
 pub use counts::PlatformCounts;
@@ -30,7 +30,7 @@
 
 impl Platform {
     /// Starts it within this process.
-    pub async fn start(settings: PlatformSettings) -> io::Result<Running> {
+    pub async fn start(settings: PlatformSettings) -> io::Result<RunningStandin> {
         let listen = settings.listen;
         let state = state::State::new(settings);
         let handler = move |request| routes::handle(state.clone(), request);
--- a/crates/standins/src/platform/routes.rs
+++ b/crates/standins/src/platform/routes.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use crate::http::{
-    Answer, ConnectionClosed, Handled, Query, ReplyBody, json, json_body, no_content,
+    Answer, ConnectionClosed, HandlerResult, Query, ReplyBody, json, json_body, no_content,
     percent_decode, status,
 };
 use crate::platform::PlatformFaults;
@@ -35,7 +35,7 @@
 }
 
 /// Answers one request.
-pub(crate) async fn handle(state: State, request: Request<Bytes>) -> Handled {
+pub(crate) async fn handle(state: State, request: Request<Bytes>) -> HandlerResult {
     if request.uri().path().starts_with(ADMIN_PREFIX) {
         return Ok(admin(&state, &request));
     }
@@ -54,7 +54,7 @@
     Ok(answer)
 }
 
-fn serve(state: &State, request: &Request<Bytes>) -> Handled {
+fn serve(state: &State, request: &Request<Bytes>) -> HandlerResult {
     let path = request.uri().path();
     let object = path.strip_prefix(OBJECT_PREFIX).and_then(percent_decode);
     match (request.method(), path, object) {
@@ -91,7 +91,7 @@
     json(StatusCode::OK, &rows)
 }
 
-fn transaction(state: &State, body: &Bytes) -> Handled {
+fn transaction(state: &State, body: &Bytes) -> HandlerResult {
     let transaction: Transaction = match json_body(body) {
         Ok(transaction) => transaction,
         Err(answer) => return Ok(*answer),
--- a/crates/standins/src/relay/running_relay.rs
+++ b/crates/standins/src/relay/running_relay.rs
@@ -2,13 +2,13 @@
 
 use std::net::SocketAddr;
 
-use crate::http::Running;
+use crate::http::RunningStandin;
 
 /// A running relay; dropping it stops it.
 #[derive(Debug)]
 pub struct RunningRelay {
-    relay: Running,
-    admin: Running,
+    relay: RunningStandin,
+    admin: RunningStandin,
 }
 
 impl RunningRelay {
@@ -43,11 +43,11 @@
     }
 
     /// Waits until it has stopped, for any reason.
-    pub async fn ended(&mut self) {
-        self.relay.ended().await;
+    pub async fn wait_until_stopped(&mut self) {
+        self.relay.wait_until_stopped().await;
     }
 
-    pub(crate) fn new(relay: Running, admin: Running) -> Self {
+    pub(crate) fn new(relay: RunningStandin, admin: RunningStandin) -> Self {
         Self { relay, admin }
     }
 }
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -11,7 +11,7 @@
 use std::io;
 use std::sync::Arc;
 
-use crate::http::{Running, StopSignal, start_server};
+use crate::http::{RunningStandin, StopSignal, start_server};
 
 #[doc(inline)]
 pub use service_execution::ServiceExecution;
@@ -24,7 +24,7 @@
 
 impl Service {
     /// Starts it within this process.
-    pub async fn start(settings: ServiceSettings) -> io::Result<Running> {
+    pub async fn start(settings: ServiceSettings) -> io::Result<RunningStandin> {
         let listen = settings.listen;
         let stop = StopSignal::new();
         let state = Arc::new(service_state::ServiceState::new(settings, stop.clone()));
--- a/crates/standins/src/service/service_routes.rs
+++ b/crates/standins/src/service/service_routes.rs
@@ -8,7 +8,9 @@
 use serde::Serialize;
 
 use crate::backend::{BackendFaults, CallHeaders, CallId, Digest, digest};
-use crate::http::{Answer, Handled, broken_off, json, json_body, no_content, plain, status};
+use crate::http::{
+    Answer, HandlerResult, json, json_body, no_content, plain_text, status, truncated_answer,
+};
 use crate::service::service_state::ServiceState;
 
 /// Answer to a call.
@@ -22,7 +24,7 @@
 }
 
 /// Answers one request.
-pub(crate) async fn handle(state: Arc<ServiceState>, request: Request<Bytes>) -> Handled {
+pub(crate) async fn handle(state: Arc<ServiceState>, request: Request<Bytes>) -> HandlerResult {
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/executions") => Ok(json(StatusCode::OK, &state.executions())),
         (&Method::POST, "/admin/faults") => Ok(set_faults(&state, request.body())),
@@ -31,10 +33,10 @@
     }
 }
 
-async fn call(state: &ServiceState, path: &str, request: &Request<Bytes>) -> Handled {
+async fn call(state: &ServiceState, path: &str, request: &Request<Bytes>) -> HandlerResult {
     let headers = match CallHeaders::parse(request.headers()) {
         Ok(headers) => headers,
-        Err(error) => return Ok(plain(StatusCode::BAD_REQUEST, error.to_string())),
+        Err(error) => return Ok(plain_text(StatusCode::BAD_REQUEST, error.to_string())),
     };
     state.faults.until_unfrozen().await;
     let body_digest = digest(request.body());
@@ -54,13 +56,13 @@
     answer(state, &reply).await
 }
 
-async fn answer(state: &ServiceState, reply: &ServiceReply<'_>) -> Handled {
+async fn answer(state: &ServiceState, reply: &ServiceReply<'_>) -> HandlerResult {
     let answer = json(StatusCode::OK, reply);
     if !state.faults.take_break() {
         return Ok(answer);
     }
     let whole = answer.into_body().collect().await?.to_bytes();
-    Ok(broken_off(whole.slice(..whole.len() / 2)))
+    Ok(truncated_answer(whole.slice(..whole.len() / 2)))
 }
 
 fn set_faults(state: &ServiceState, body: &Bytes) -> Answer {
--- a/crates/standins/tests/orders_planner.rs
+++ b/crates/standins/tests/orders_planner.rs
@@ -12,7 +12,7 @@
 use amaranthscale_core::version::{CompiledTree, Placement, PlanLimits, Service, TreeEdit};
 use amaranthscale_standins::backend::BackendFaults;
 use amaranthscale_standins::engine::EngineOrder;
-use amaranthscale_standins::http::{HttpClient, Running};
+use amaranthscale_standins::http::{HttpClient, RunningStandin};
 use serde_json::Value;
 use support::{
     OrdersBench, engine, host, model, pool, put_service, quick_planner, switch, tree, until,
@@ -25,7 +25,7 @@
 const RENEWALS: u64 = 3;
 
 /// Engines with their sidecars, listed as hosts.
-async fn engines(bench: &OrdersBench, count: u32) -> Vec<(Running, Sidecar)> {
+async fn engines(bench: &OrdersBench, count: u32) -> Vec<(RunningStandin, Sidecar)> {
     let mut engines = Vec::new();
     for number in 0..count {
         let engine = engine(true).await;
--- a/crates/standins/tests/standin_engine.rs
+++ b/crates/standins/tests/standin_engine.rs
@@ -9,7 +9,7 @@
     CacheEvent, CacheEventKind, Engine, EngineExecution, EngineLoad, EngineOrder, EngineRole,
     EngineSettings, OrderReply, OrderState,
 };
-use amaranthscale_standins::http::{HttpClient, HttpError, HttpReply, Running};
+use amaranthscale_standins::http::{HttpClient, HttpError, HttpReply, RunningStandin};
 use hyper::{Method, StatusCode};
 use serde_json::{Value, json};
 use support::{HeldClock, eventually, joined, settle, switch};
@@ -19,7 +19,7 @@
 const LONG_TOKEN_MS: u64 = 3_600_000;
 
 struct Fixture {
-    engine: Running,
+    engine: RunningStandin,
     client: HttpClient,
 }
 
@@ -455,7 +455,7 @@
     let broken = fixture.run(generation("c1", 6)).await;
     let whole = fixture.run(generation("c1", 6)).await.unwrap();
 
-    let Err(HttpError::BrokenOff(StatusCode::OK, arrived, _)) = broken else {
+    let Err(HttpError::Truncated(StatusCode::OK, arrived, _)) = broken else {
         panic!("not broken off: {broken:?}");
     };
     assert_eq!(parse_lines(&arrived), lines(&whole)[..3]);
@@ -528,7 +528,7 @@
     let body = serde_json::to_vec(&faults).unwrap();
     // Its last answer may or may not make it out.
     let _ = fixture.client.post(url, &[], body).await;
-    fixture.engine.ended().await;
+    fixture.engine.wait_until_stopped().await;
 
     let call = fixture.run(generation("c1", 1)).await;
     assert!(matches!(call, Err(HttpError::NoAnswer(_))), "{call:?}");
--- a/crates/standins/tests/standin_platform.rs
+++ b/crates/standins/tests/standin_platform.rs
@@ -10,7 +10,7 @@
     HostList, HostRecord, HostState, Row, RowCheck, RowWrite, Transaction, TransactionReply,
 };
 use amaranthscale_standins::http::{
-    HttpClient, HttpError, HttpReply, Running, percent_decode, percent_encode,
+    HttpClient, HttpError, HttpReply, RunningStandin, percent_decode, percent_encode,
 };
 use amaranthscale_standins::platform::{
     Platform, PlatformCounts, PlatformFaults, PlatformSettings,
@@ -21,7 +21,7 @@
 use tokio::time::Instant;
 
 struct Fixture {
-    platform: Running,
+    platform: RunningStandin,
     client: HttpClient,
 }
 
--- a/crates/standins/tests/standin_relay.rs
+++ b/crates/standins/tests/standin_relay.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use amaranthscale_standins::http::{HttpClient, HttpError, HttpReply, Running};
+use amaranthscale_standins::http::{HttpClient, HttpError, HttpReply, RunningStandin};
 use amaranthscale_standins::relay::{Relay, RelayCounts, RelayFaults, RelaySettings, RunningRelay};
 use amaranthscale_standins::service::{Service, ServiceExecution, ServiceSettings};
 use hyper::StatusCode;
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 struct Fixture {
-    service: Running,
+    service: RunningStandin,
     relay: RunningRelay,
     /// Its connection goes through the relay and is kept open between calls.
     through_relay: HttpClient,
--- a/crates/standins/tests/standin_service.rs
+++ b/crates/standins/tests/standin_service.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use amaranthscale_standins::backend::BackendFaults;
-use amaranthscale_standins::http::{HttpClient, HttpError, HttpReply, Running};
+use amaranthscale_standins::http::{HttpClient, HttpError, HttpReply, RunningStandin};
 use amaranthscale_standins::service::{Service, ServiceExecution, ServiceSettings};
 use hyper::StatusCode;
 use serde_json::Value;
@@ -13,7 +13,7 @@
 use tokio::task::JoinHandle;
 
 struct Fixture {
-    service: Running,
+    service: RunningStandin,
     client: HttpClient,
 }
 
@@ -153,7 +153,7 @@
 
     let broken = fixture.call("c1").await;
 
-    let Err(HttpError::BrokenOff(StatusCode::OK, arrived, _)) = broken else {
+    let Err(HttpError::Truncated(StatusCode::OK, arrived, _)) = broken else {
         panic!("not broken off: {broken:?}");
     };
     assert!(!arrived.is_empty());
@@ -172,7 +172,7 @@
     let body = serde_json::to_vec(&faults).unwrap();
     // Its last answer may or may not make it out.
     let _ = fixture.client.post(url, &[], body).await;
-    fixture.service.ended().await;
+    fixture.service.wait_until_stopped().await;
 
     let call = fixture.call("c1").await;
     assert!(matches!(call, Err(HttpError::NoAnswer(_))), "{call:?}");
--- a/crates/standins/tests/support/orders_bench.rs
+++ b/crates/standins/tests/support/orders_bench.rs
@@ -20,7 +20,7 @@
 };
 use amaranthscale_core::wire::{HostList, HostRecord, HostState, Row};
 use amaranthscale_standins::engine::{Engine, EngineSettings, OrderState};
-use amaranthscale_standins::http::{HttpClient, Running};
+use amaranthscale_standins::http::{HttpClient, RunningStandin};
 use amaranthscale_standins::platform::{Platform, PlatformSettings};
 use serde_json::json;
 use tokio::sync::watch;
@@ -37,7 +37,7 @@
 
 /// A platform, and what tests ask it.
 pub struct OrdersBench {
-    pub platform: Running,
+    pub platform: RunningStandin,
     pub table: PlatformClient,
     pub client: HttpClient,
 }
@@ -67,7 +67,12 @@
     }
 
     /// A sidecar before an engine, looking often.
-    pub async fn sidecar(&self, number: u32, engine: &Running, order_timeout: Duration) -> Sidecar {
+    pub async fn sidecar(
+        &self,
+        number: u32,
+        engine: &RunningStandin,
+        order_timeout: Duration,
+    ) -> Sidecar {
         let config = SidecarConfig {
             host: host(number),
             service: pool(),
@@ -184,12 +189,12 @@
     }
 
     /// What an engine has been ordered; it tells also while frozen.
-    pub async fn orders(&self, engine: &Running) -> OrderState {
+    pub async fn orders(&self, engine: &RunningStandin) -> OrderState {
         let orders = self.client.get_json(engine.url("/orders")).await;
         orders.unwrap()
     }
 
-    pub async fn until_loaded(&self, engine: &Running, names: &[&str]) {
+    pub async fn until_loaded(&self, engine: &RunningStandin, names: &[&str]) {
         let wanted: Vec<_> = names.iter().map(|name| model(name)).collect();
         until("the engine runs its models", async || {
             self.orders(engine).await.models == wanted
@@ -230,7 +235,7 @@
     }
 }
 
-pub async fn engine(honours_fence: bool) -> Running {
+pub async fn engine(honours_fence: bool) -> RunningStandin {
     let settings = EngineSettings {
         honours_fence,
         ..EngineSettings::default()
