--- a/crates/amaranthscale/src/gateway/process/crash_tracker.rs
+++ b/crates/amaranthscale/src/gateway/process/crash_tracker.rs
@@ -90,7 +90,7 @@
         };
         let request = content.fingerprint();
         if let Some(renewal) = state.quarantine.renewal_of(request, now) {
-            for (request, server) in renewal.blames() {
+            for (request, server) in renewal.suspicions() {
                 state.unpublished.add_crash(server, request);
             }
             self.apply_unpublished(&mut state, now);
@@ -253,7 +253,7 @@
         info!(server:% = server, sign, lost = requests.len(); "servers: crashed");
         for request in requests {
             state.unpublished.add_crash(server, request);
-            if state.unpublished.blames().count() >= MAX_REQUESTS_PER_ROW {
+            if state.unpublished.suspicions().count() >= MAX_REQUESTS_PER_ROW {
                 self.apply_unpublished(&mut state, now);
                 state.seal_unpublished(&self.instance);
             }
