--- a/crates/standins/examples/quickstart.rs
+++ b/crates/standins/examples/quickstart.rs
@@ -104,7 +104,7 @@
     let mut report = LoadReport::default();
     while let Some(answers) = tasks.join_next().await {
         for answer in answers? {
-            report.take(&answer);
+            report.record(&answer);
         }
     }
     progress.finish();
--- a/crates/standins/src/bin/amaranth-load.rs
+++ b/crates/standins/src/bin/amaranth-load.rs
@@ -1,4 +1,4 @@
-//! The load tool: measures the policy on a virtual clock, and the daemons on a real one.
+//! The load tool: measures the policy on a virtual clock, and the daemons in real time.
 
 use std::process::ExitCode;
 
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -1,4 +1,4 @@
-//! Sends load and checks every answer.
+//! Load generation and measurement; every answer is checked.
 
 pub mod capacity;
 pub mod demo_tree;
--- a/crates/standins/src/load/caller.rs
+++ b/crates/standins/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! A caller who checks the answers and comes back when told to.
+//! A caller that checks the answers and retries after the delay that a refusal states.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use super::CallerAnswer;
 use crate::http::{HttpClient, HttpReply};
 
-/// Most tries at one request.
+/// Default maximum number of tries of one request.
 const MAX_TRIES: u32 = 20;
-/// Tokens asked for.
+/// Default number of tokens requested.
 const DEFAULT_MAX_TOKENS: u32 = 24;
-/// Characters of an answer that are shown.
-const SHOWN_CHARACTERS: usize = 60;
+/// Characters of an answer's text that reports show.
+const MAX_EXCERPT_CHARACTERS: usize = 60;
 
 /// A caller of one organisation.
 #[derive(Debug, Clone)]
@@ -26,12 +26,12 @@
     max_tokens: u32,
     max_tries: u32,
     prefix: Option<String>,
-    gives_up_at_deadline: bool,
+    is_deadline_total: bool,
     http: HttpClient,
 }
 
 impl Caller {
-    /// A caller who holds an organisation's key.
+    /// A caller with an organisation's key.
     pub fn new(
         organisation: impl Into<String>,
         class: impl Into<String>,
@@ -45,43 +45,44 @@
             max_tokens: DEFAULT_MAX_TOKENS,
             max_tries: MAX_TRIES,
             prefix: None,
-            gives_up_at_deadline: false,
+            is_deadline_total: false,
             http: HttpClient::new(),
         }
     }
 
-    /// Sets the deadline of each try.
+    /// Sets the deadline, which applies to each try unless it is a total deadline.
     #[must_use]
-    pub const fn within(mut self, deadline: Duration) -> Self {
+    pub const fn with_deadline(mut self, deadline: Duration) -> Self {
         self.deadline = deadline;
         self
     }
 
     /// Sets the length of generated answers.
     #[must_use]
-    pub const fn asking_for_tokens(mut self, max_tokens: u32) -> Self {
+    pub const fn with_max_tokens(mut self, max_tokens: u32) -> Self {
         self.max_tokens = max_tokens;
         self
     }
 
-    /// Sets how often a refused request is tried.
+    /// Sets the maximum number of tries of a refused request.
     #[must_use]
-    pub const fn trying(mut self, max_tries: u32) -> Self {
+    pub const fn with_max_tries(mut self, max_tries: u32) -> Self {
         self.max_tries = max_tries;
         self
     }
 
-    /// Sets the prefix of prompts, by which engines cache them; else the organisation's name.
+    /// Sets the prompts' prefix, the key of engines' prefix caches; by default the
+    /// organisation's name.
     #[must_use]
     pub fn with_prefix(mut self, prefix: impl Into<String>) -> Self {
         self.prefix = Some(prefix.into());
         self
     }
 
-    /// Makes the deadline hold for all tries together, as for a caller who waits at a gate.
+    /// Makes the deadline apply to all tries together, as for a person who waits for the answer.
     #[must_use]
-    pub const fn giving_up_at_deadline(mut self) -> Self {
-        self.gives_up_at_deadline = true;
+    pub const fn with_total_deadline(mut self) -> Self {
+        self.is_deadline_total = true;
         self
     }
 
@@ -91,7 +92,7 @@
         &self.organisation
     }
 
-    /// Asks a pipeline; the answer must hold the marker and all its tokens.
+    /// Sends a request to a pipeline; the answer must contain the marker and all its tokens.
     pub async fn ask(&self, entry: &str, path: &str, marker: &str) -> CallerAnswer {
         let body = json!({
             "marker": marker,
@@ -107,7 +108,7 @@
         self.send(entry, path, &body, None, marker, check).await
     }
 
-    /// Makes a call that may not be repeated, under a key made of the marker.
+    /// Makes a call that must not be repeated; the marker is its idempotency key.
     pub async fn settle(&self, entry: &str, path: &str, marker: &str) -> CallerAnswer {
         let body = json!({"marker": marker, "grower": self.organisation});
         let digest = body_digest(&body);
@@ -126,17 +127,17 @@
         check: impl Fn(&Value, &str) -> bool,
     ) -> CallerAnswer {
         let started = Instant::now();
-        let mut answer = self.no_answer(marker);
+        let mut answer = self.unanswered(marker);
         while answer.tries < self.max_tries {
             answer.tries += 1;
-            let left = self.left(started);
-            let reply = self.post(entry, path, body, key, left).await;
-            let wait = read(&mut answer, reply.as_ref(), &check);
+            let remaining = self.remaining(started);
+            let reply = self.post(entry, path, body, key, remaining).await;
+            let retry_delay = record_reply(&mut answer, reply.as_ref(), &check);
             answer.elapsed = started.elapsed();
-            match wait {
-                Some(wait) if self.comes_back(&answer, wait) => {
-                    answer.refused_codes.push(answer.code);
-                    sleep(wait).await;
+            match retry_delay {
+                Some(retry_delay) if self.should_retry(&answer, retry_delay) => {
+                    answer.retried_codes.push(answer.code);
+                    sleep(retry_delay).await;
                 }
                 _ => break,
             }
@@ -144,18 +145,19 @@
         answer
     }
 
-    /// The deadline to ask for.
-    fn left(&self, started: Instant) -> Duration {
-        if self.gives_up_at_deadline {
+    /// The deadline to send with a try.
+    fn remaining(&self, started: Instant) -> Duration {
+        if self.is_deadline_total {
             self.deadline.saturating_sub(started.elapsed())
         } else {
             self.deadline
         }
     }
 
-    fn comes_back(&self, answer: &CallerAnswer, wait: Duration) -> bool {
-        let is_late = self.gives_up_at_deadline && answer.elapsed + wait >= self.deadline;
-        answer.tries < self.max_tries && !is_late
+    fn should_retry(&self, answer: &CallerAnswer, retry_delay: Duration) -> bool {
+        let is_past_deadline =
+            self.is_deadline_total && answer.elapsed + retry_delay >= self.deadline;
+        answer.tries < self.max_tries && !is_past_deadline
     }
 
     async fn post(
@@ -179,7 +181,7 @@
         sent.await.ok()
     }
 
-    fn no_answer(&self, marker: &str) -> CallerAnswer {
+    fn unanswered(&self, marker: &str) -> CallerAnswer {
         CallerAnswer {
             organisation: self.organisation.clone(),
             class: self.class.clone(),
@@ -188,7 +190,7 @@
             ran: String::new(),
             is_correct: false,
             tries: 0,
-            refused_codes: Vec::new(),
+            retried_codes: Vec::new(),
             deadline: self.deadline,
             elapsed: Duration::ZERO,
             text: String::new(),
@@ -196,21 +198,21 @@
     }
 }
 
-/// Takes an answer in, and says when to come back if it was a refusal.
-fn read(
+/// Records an answer; returns the retry delay if it was a refusal.
+fn record_reply(
     answer: &mut CallerAnswer,
     reply: Option<&HttpReply>,
     check: &impl Fn(&Value, &str) -> bool,
 ) -> Option<Duration> {
     let Some(reply) = reply else {
-        // Without an answer only a keyed call may be made again, and the same key makes it safe.
+        // Without an answer only a keyed call may be retried, and the same key makes that safe.
         return None;
     };
     let body: Value = serde_json::from_slice(&reply.body).unwrap_or_default();
     answer.code = number_header(&reply.headers, "x-amaranth-code").unwrap_or_default();
     answer.ran = text_header(&reply.headers, "x-amaranth-ran");
     answer.is_correct = answer.is_complete() && check(&body, &answer.marker);
-    answer.text = shown(&body);
+    answer.text = excerpt(&body);
     let wait_ms: u64 = number_header(&reply.headers, "x-retry-after-ms")?;
     Some(Duration::from_millis(wait_ms))
 }
@@ -224,17 +226,17 @@
     value.unwrap_or_default().to_owned()
 }
 
-fn shown(body: &Value) -> String {
+fn excerpt(body: &Value) -> String {
     let text = body["result"]["text"]
         .as_str()
         .or_else(|| body["body_digest"].as_str());
     text.unwrap_or_default()
         .chars()
-        .take(SHOWN_CHARACTERS)
+        .take(MAX_EXCERPT_CHARACTERS)
         .collect()
 }
 
-/// Digest of a body as a plain service stand-in records it.
+/// Digest of a body, in the format that the plain service stand-in records.
 fn body_digest(body: &Value) -> String {
     use std::fmt::Write as _;
 
--- a/crates/standins/src/load/caller_answer.rs
+++ b/crates/standins/src/load/caller_answer.rs
@@ -1,28 +1,28 @@
-//! What a caller got for one request.
+//! Final result of one caller's request.
 
 use std::fmt;
 use std::time::Duration;
 
-/// What a caller got for one request, over all its tries.
+/// Final result of one request, over all its tries.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerAnswer {
-    /// Organisation that asked.
+    /// Organisation of the caller.
     pub organisation: String,
     /// Class of that organisation.
     pub class: String,
-    /// Marker that the request carried.
+    /// Marker in the request.
     pub marker: String,
-    /// Number of the last result code; 0 if no answer came.
+    /// Number of the last result code; 0 without an answer.
     pub code: u16,
-    /// Whether the request ran, as the answer says.
+    /// Whether the request ran, as stated in the answer.
     pub ran: String,
-    /// Whether a complete answer was the request's own, and whole.
+    /// Whether the answer was complete and belonged to this request.
     pub is_correct: bool,
-    /// Tries that the caller made.
+    /// Number of tries.
     pub tries: u32,
-    /// Result codes of the tries after which the caller came back.
-    pub refused_codes: Vec<u16>,
-    /// Time within which the caller wanted its answer.
+    /// Result codes of the tries that the caller retried.
+    pub retried_codes: Vec<u16>,
+    /// Time within which the caller expected its answer.
     pub deadline: Duration,
     /// Time from the first try to the last answer.
     pub elapsed: Duration,
--- a/crates/standins/src/load/capacity.rs
+++ b/crates/standins/src/load/capacity.rs
@@ -1,8 +1,8 @@
 //! Measures how the cost of control grows with the size of a deployment.
 //!
-//! Entries and sidecars run as processes of their own, so that memory and processor time are told
-//! apart by role; the platform and one backend server are stand-ins in this process. Each sweep
-//! changes one size and keeps the others, and prints one line for each point as JSON.
+//! Entries and sidecars run as separate processes, so that memory and processor time can be
+//! measured by role; the platform and the backend servers are stand-ins in this process. Each sweep
+//! varies one size while the others are fixed, and prints one line of JSON for each point.
 
 mod capacity_error;
 mod capacity_tree;
@@ -48,7 +48,7 @@
         .args(size_arguments())
 }
 
-/// Runs the sweep that was asked for.
+/// Runs the requested sweep.
 pub fn run(matches: &ArgMatches) -> Result<(), String> {
     let runtime = tokio::runtime::Runtime::new().map_err(|error| error.to_string())?;
     let sweep = Sweep::of(
@@ -61,7 +61,7 @@
         .map(|points| points.copied().collect());
     let binaries = matches.get_one::<PathBuf>("binaries").cloned();
     let measuring = sweep.run(size(matches), points, binaries);
-    // The processes of a deployment end when it is dropped, so an interrupt has to come back here.
+    // The processes of a deployment are ended when it is dropped, so an interrupt must return here.
     runtime.block_on(async {
         tokio::select! {
             measured = measuring => measured.map_err(|error| error.to_string()),
--- a/crates/standins/src/load/capacity/capacity_tree.rs
+++ b/crates/standins/src/load/capacity/capacity_tree.rs
@@ -1,4 +1,4 @@
-//! A settings tree with as many organisations as a sweep asks for.
+//! A settings tree with a given number of organisations.
 
 use amaranthscale_core::version::{KeyHash, SettingsTree};
 use serde_json::{Map, Value, json};
@@ -56,7 +56,7 @@
     })
 }
 
-/// Overrides three fields, as an organisation of a cooperative does.
+/// An organisation that overrides three fields, as organisations of a cooperative do.
 fn organisation(number: u32) -> Value {
     json!({
         "parent": "root",
--- a/crates/standins/src/load/capacity/daemon_process.rs
+++ b/crates/standins/src/load/capacity/daemon_process.rs
@@ -1,4 +1,4 @@
-//! A daemon that runs as a process of its own.
+//! A daemon in a child process.
 
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 use super::capacity_error::CapacityError;
 use super::process_usage::ProcessUsage;
 
-/// What the first line of a daemon's output starts with.
-const LISTENING: &str = "listening ";
+/// Prefix of the first line of a daemon's output.
+const ADDRESS_PREFIX: &str = "listening ";
 
-/// A daemon that runs as a process of its own; dropping it ends this process and no other.
+/// A daemon in a child process; dropping it ends this process and no other.
 #[derive(Debug)]
 pub(super) struct DaemonProcess {
     child: Child,
@@ -19,7 +19,7 @@
 }
 
 impl DaemonProcess {
-    /// Starts a daemon, without waiting for it.
+    /// Starts a daemon without waiting until it listens.
     pub(super) fn launch(program: &Path, settings: &Path) -> Result<Child, CapacityError> {
         let child = Command::new(program)
             .arg("--config")
@@ -32,9 +32,12 @@
         Ok(child)
     }
 
-    /// Reads where a launched daemon listens.
-    pub(super) fn listening(mut child: Child, program: &Path) -> Result<Self, CapacityError> {
-        let address = announced(&mut child)?;
+    /// Waits until a launched daemon prints its listening address.
+    pub(super) fn wait_until_listening(
+        mut child: Child,
+        program: &Path,
+    ) -> Result<Self, CapacityError> {
+        let address = read_address(&mut child)?;
         let address = address.ok_or_else(|| {
             let _ = child.kill();
             CapacityError::NotStarted(program.display().to_string())
@@ -42,12 +45,12 @@
         Ok(Self { child, address })
     }
 
-    /// Address that the daemon has announced.
+    /// Listening address that the daemon printed.
     pub(super) const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What the process has used since it started.
+    /// Resource usage of the process since it started.
     pub(super) fn usage(&self) -> io::Result<ProcessUsage> {
         ProcessUsage::of(self.child.id())
     }
@@ -55,18 +58,18 @@
 
 impl Drop for DaemonProcess {
     fn drop(&mut self) {
-        // A daemon that has ended of its own accord cannot be ended again.
+        // Fails for a daemon that has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-fn announced(child: &mut Child) -> io::Result<Option<SocketAddr>> {
+fn read_address(child: &mut Child) -> io::Result<Option<SocketAddr>> {
     let Some(stdout) = child.stdout.as_mut() else {
         return Ok(None);
     };
     let mut line = String::new();
     BufReader::new(stdout).read_line(&mut line)?;
-    let address = line.trim().strip_prefix(LISTENING);
+    let address = line.trim().strip_prefix(ADDRESS_PREFIX);
     Ok(address.and_then(|address| address.parse().ok()))
 }
--- a/crates/standins/src/load/capacity/fleet.rs
+++ b/crates/standins/src/load/capacity/fleet.rs
@@ -1,4 +1,4 @@
-//! Entries and sidecars as processes, around stand-ins in this process.
+//! Entries and sidecars in child processes, connected to stand-ins in this process.
 
 use std::fs;
 use std::net::{SocketAddr, TcpListener};
@@ -24,31 +24,32 @@
 
 /// Bearer key of the operators.
 const OPERATOR_KEY: &str = "capacity-operator";
-/// Most processes; the machine is shared, and the letter asks for a few hundred at most.
+/// Maximum number of processes; the host is shared, and at most a few hundred are required.
 const MAX_PROCESSES: u32 = 290;
-/// Longest wait for all processes to have a version of the tree.
-const IN_FORCE_BOUND: Duration = Duration::from_mins(1);
-/// Time between two looks at a process; the resolution of the times to force.
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
-/// Attempts that a stand-in takes at once; enough that none waits.
+/// Timeout for all processes to have a version of the tree.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_mins(1);
+/// Interval at which a process is polled; the resolution of the times until an edit is in force.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Attempts that a stand-in runs at once, enough that none waits.
 const SLOTS: u32 = 256;
 
-/// What a process does.
+/// Role of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Role {
-    /// Takes callers' requests.
+    /// Receives callers' requests.
     Entry,
-    /// Stands before a backend server.
+    /// Runs in front of a backend server.
     Sidecar,
 }
 
-/// Entries and sidecars as processes, around stand-ins in this process.
+/// Entries and sidecars in child processes, connected to stand-ins in this process.
 #[derive(Debug)]
 pub(super) struct Fleet {
     pub(super) size: FleetSize,
     pub(super) http: HttpClient,
     platform: RunningStandin,
-    /// Relays between the entries, or the sidecars, and the platform: they see what the wire does.
+    /// Relays from the entries and from the sidecars to the platform, which count the bytes on
+    /// the wire.
     relays: [RunningRelay; 2],
     backends: [RunningStandin; 2],
     entries: Vec<DaemonProcess>,
@@ -69,12 +70,12 @@
         if processes > MAX_PROCESSES {
             return Err(CapacityError::TooMany(processes, MAX_PROCESSES));
         }
-        let mut fleet = Self::of_standins(size, binaries).await?;
+        let mut fleet = Self::start_standins(size, binaries).await?;
         fleet.launch_entries()?;
-        // Sidecars look at the host list every 30 s only, and would know no entry until then.
-        fleet.show_hosts(0).await?;
+        // Sidecars poll the host list every 30 s only, and would know no entry until then.
+        fleet.publish_hosts(0).await?;
         fleet.launch_sidecars()?;
-        fleet.show_hosts(0).await?;
+        fleet.publish_hosts(0).await?;
         fleet.import().await?;
         Ok(fleet)
     }
@@ -93,29 +94,29 @@
         address.map_or_else(String::new, |address| format!("http://{address}{path}"))
     }
 
-    /// What a process shows.
+    /// The `/status` of a process.
     pub(super) async fn status(&self, process: &DaemonProcess) -> Result<Value, CapacityError> {
         let url = format!("http://{}/status", process.address());
         Ok(self.http.get_json(url).await?)
     }
 
-    /// What the platform has counted.
+    /// Counts of the platform stand-in.
     pub(super) async fn platform_counts(&self) -> Result<PlatformCounts, CapacityError> {
         let url = self.platform.url("/admin/counts");
         Ok(self.http.get_json(url).await?)
     }
 
-    /// Bytes that have passed between the processes of a role and the platform, both ways.
+    /// Bytes between the processes of a role and the platform, in both directions.
     pub(super) async fn wire_bytes(&self, role: Role) -> Result<u64, CapacityError> {
         let relay = &self.relays[role as usize];
         let counts: RelayCounts = self.http.get_json(relay.admin_url("/admin/counts")).await?;
         Ok(counts.to_server_bytes + counts.to_client_bytes)
     }
 
-    /// Replaces the host list by the running hosts and so many that are only listed.
+    /// Replaces the host list by the running hosts and `listed` hosts that don't exist.
     ///
-    /// Listed hosts stand for entries and sidecars in the letter's ratio; none answers.
-    pub(super) async fn show_hosts(&self, listed: u32) -> Result<(), CapacityError> {
+    /// The latter are entries and sidecars in the specified ratio.
+    pub(super) async fn publish_hosts(&self, listed: u32) -> Result<(), CapacityError> {
         let mut hosts = self.hosts.clone();
         for number in 0..listed {
             hosts.push(listed_host(number)?);
@@ -135,7 +136,7 @@
         Ok(())
     }
 
-    /// Makes an edit at the first entry; returns once it is accepted.
+    /// Makes an edit at the first entry; returns when it is accepted.
     pub(super) async fn edit(&mut self, edit: &TreeEdit) -> Result<(), CapacityError> {
         let body = json!({
             "expected_version": self.tree_version, "by": "capacity", "edit": edit,
@@ -155,28 +156,29 @@
         Ok(())
     }
 
-    /// Waits until every process has the last accepted edit; tells the time for each in ms.
+    /// Waits until every process has the last accepted edit; returns the time for each in ms.
     pub(super) async fn wait_in_force(&self) -> Result<Vec<f64>, CapacityError> {
         let started = tokio::time::Instant::now();
-        let mut looks = tokio::task::JoinSet::new();
+        let mut polls = tokio::task::JoinSet::new();
         for process in self.entries.iter().chain(&self.sidecars) {
             let url = format!("http://{}/status", process.address());
             let (http, version) = (self.http.clone(), self.tree_version);
-            looks.spawn(async move {
-                timeout(IN_FORCE_BOUND, look_until(&http, &url, version))
+            polls.spawn(async move {
+                timeout(IN_FORCE_TIMEOUT, poll_until_version(&http, &url, version))
                     .await
                     .map(|()| started.elapsed().as_secs_f64() * 1000.0)
             });
         }
         let mut times_ms = Vec::new();
-        while let Some(look) = looks.join_next().await {
-            let seen = look.ok().and_then(Result::ok);
-            times_ms.push(seen.ok_or(CapacityError::Late("an edit in force everywhere"))?);
+        while let Some(poll) = polls.join_next().await {
+            let in_force_ms = poll.ok().and_then(Result::ok);
+            times_ms
+                .push(in_force_ms.ok_or(CapacityError::TimedOut("an edit in force everywhere"))?);
         }
         Ok(times_ms)
     }
 
-    async fn of_standins(
+    async fn start_standins(
         size: FleetSize,
         binaries: Option<PathBuf>,
     ) -> Result<Self, CapacityError> {
@@ -203,7 +205,7 @@
             directory: TempDir::new()?,
             binaries: match binaries {
                 Some(binaries) => binaries,
-                None => own_directory()?,
+                None => executable_directory()?,
             },
             tree_version: 0,
         })
@@ -219,7 +221,7 @@
             launched.push((DaemonProcess::launch(&program, &file)?, peer_listen));
         }
         for (number, (child, peer_listen)) in launched.into_iter().enumerate() {
-            let entry = DaemonProcess::listening(child, &program)?;
+            let entry = DaemonProcess::wait_until_listening(child, &program)?;
             self.hosts
                 .push(host(&format!("entry-{number}"), peer_listen, None)?);
             self.entries.push(entry);
@@ -236,7 +238,7 @@
             launched.push(DaemonProcess::launch(&program, &file)?);
         }
         for (number, child) in launched.into_iter().enumerate() {
-            let sidecar = DaemonProcess::listening(child, &program)?;
+            let sidecar = DaemonProcess::wait_until_listening(child, &program)?;
             let service = service_of(u32::try_from(number).unwrap_or(u32::MAX));
             let name = format!("sidecar-{number}");
             self.hosts
@@ -277,13 +279,13 @@
         Ok(file)
     }
 
-    /// Imports the tree once the first entry has found that there is none.
+    /// Imports the tree when the first entry is ready, having found that there is none.
     async fn import(&mut self) -> Result<(), CapacityError> {
         self.wait_in_force().await?;
         let tree = capacity_tree(self.size.organisations)?;
         let ready_url = self.entry_url("/readyz");
         while !self.http.get(&ready_url).await?.status.is_success() {
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
         let edit = TreeEdit::Import {
             tree: Box::new(tree),
@@ -294,21 +296,21 @@
     }
 }
 
-/// The first sidecar stands before the engine, all others before the plain service.
+/// The first sidecar is in front of the engine, all others in front of the plain service.
 const fn service_of(number: u32) -> &'static str {
     if number == 0 { "generator" } else { "work" }
 }
 
-async fn look_until(http: &HttpClient, url: &str, version: u64) {
+async fn poll_until_version(http: &HttpClient, url: &str, version: u64) {
     loop {
         if let Ok(status) = http.get_json::<Value>(url).await {
-            let shown = status["tree_version"].as_u64();
-            let shown = shown.or_else(|| status["tree"]["version"].as_u64());
-            if shown.is_some_and(|shown| shown >= version) {
+            let reported = status["tree_version"].as_u64();
+            let reported = reported.or_else(|| status["tree"]["version"].as_u64());
+            if reported.is_some_and(|reported| reported >= version) {
                 return;
             }
         }
-        sleep(LOOK_PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -327,10 +329,10 @@
     })
 }
 
-/// A host that is listed and does not run: 11 of 30 are entries, as 380 are of 1,040.
+/// A listed host that doesn't run: 11 of 30 are entries, as 380 of 1,040 are.
 fn listed_host(number: u32) -> Result<HostRecord, CapacityError> {
     let is_entry = number % 30 < 11;
-    // Nothing listens at port 1, so a connection is refused at once.
+    // No process listens at port 1, so a connection is refused at once.
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let name = format!("listed-host-{number:04}");
     host(&name, address, (!is_entry).then_some("listed"))
@@ -340,7 +342,7 @@
     Ok(TcpListener::bind(("127.0.0.1", 0))?.local_addr()?)
 }
 
-fn own_directory() -> Result<PathBuf, CapacityError> {
+fn executable_directory() -> Result<PathBuf, CapacityError> {
     let own = std::env::current_exe()?;
     Ok(own.parent().map_or_else(PathBuf::new, Path::to_path_buf))
 }
--- a/crates/standins/src/load/capacity/fleet_size.rs
+++ b/crates/standins/src/load/capacity/fleet_size.rs
@@ -9,12 +9,12 @@
     pub(super) sidecars: u32,
     /// Entry processes.
     pub(super) entries: u32,
-    /// Organisations in the settings tree, beside its root.
+    /// Organisations in the settings tree, without its root.
     pub(super) organisations: u32,
-    /// Time between two comparisons of the tree with another process.
+    /// Interval of tree exchanges with other processes.
     pub(super) exchange_ms: u32,
-    /// Windows of measurement at each point.
+    /// Measurement windows at each point.
     pub(super) windows: u32,
-    /// Length of each window.
+    /// Duration of each window.
     pub(super) window_ms: u32,
 }
--- a/crates/standins/src/load/capacity/limits.rs
+++ b/crates/standins/src/load/capacity/limits.rs
@@ -1,4 +1,4 @@
-//! How much of an organisation's limit is lost when it is shared over many entries.
+//! Simulates how much of an organisation's limit is lost when many entries share it.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
 
 use super::spread::Spread;
 
-/// Limit of the organisation over all entries: 5,100 requests a second over 1,300 organisations,
-/// and some room.
+/// Limit of the organisation over all entries: 5,100 requests per second over 1,300 organisations,
+/// with some headroom.
 const LIMIT_PER_S: f64 = 5.0;
-/// Rate at which it asks: 80% of its limit, so that a central limiter would refuse next to none.
+/// Offered rate: 80% of the limit, so that a central limiter would refuse almost none.
 const OFFERED_PER_S: f64 = 4.0;
-/// Length of a run on the virtual clock.
+/// Duration of a run on the virtual clock.
 const RUN_S: f64 = 1800.0;
-/// Runs, each from its own seed.
+/// Number of runs, each with its own seed.
 const SEEDS: u64 = 10;
 
-/// The share of requests refused over limit, when a balancer spreads them at random.
-pub(super) fn share_refused(entries: u32) -> Value {
+/// Percentage of requests refused as over the limit, when a balancer distributes them randomly.
+pub(super) fn refused_share(entries: u32) -> Value {
     let shares = (0..SEEDS).map(|seed| refused_percent(entries, seed));
     json!({
         "entries": entries, "limit_per_s": LIMIT_PER_S, "offered_per_s": OFFERED_PER_S,
--- a/crates/standins/src/load/capacity/probes.rs
+++ b/crates/standins/src/load/capacity/probes.rs
@@ -1,4 +1,5 @@
-//! What one kind of event costs: an edit, a change of hosts, a claimed call, a cost row, a token.
+//! Measures the cost of one kind of event: an edit, a change of hosts, a claimed call, a cost row
+//! or a token.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,24 +20,24 @@
 use super::spread::{Spread, float};
 use crate::http::HttpClient;
 
-/// Edits whose way to all processes is timed at each point.
+/// Edits at each point whose propagation to all processes is timed.
 const TIMED_EDITS: u32 = 5;
-/// Time into which a day's edits are pressed.
+/// Time window over which a day's edits are distributed.
 const EDIT_WINDOW: Duration = Duration::from_secs(30);
 /// Changes of the host list at each point.
 const HOST_CHANGES: u32 = 10;
-/// Time for entries to see a changed host list: they look every second.
-const HOST_LOOK: Duration = Duration::from_millis(1300);
-/// Open calls while claims are measured.
-const OPEN_CLAIMS: u32 = 32;
-/// Time between two calls while costs are watched: 35 a second, the letter's load of a sidecar.
-const COST_CALL_PAUSE: Duration = Duration::from_micros(28_500);
+/// Time in which entries notice a changed host list, which they poll every second.
+const HOST_LIST_DELAY: Duration = Duration::from_millis(1300);
+/// Concurrent calls while claims are measured.
+const CLAIM_CONCURRENCY: u32 = 32;
+/// Time between two calls while costs are measured: 35 per second, the specified load of a sidecar.
+const COST_CALL_INTERVAL: Duration = Duration::from_micros(28_500);
 /// Tokens of each stream.
 const STREAM_TOKENS: u32 = 400;
-/// Both roles, in the order of all pairs below.
+/// Both roles, in the order of all arrays of two below.
 const ROLES: [Role; 2] = [Role::Entry, Role::Sidecar];
 
-/// Times edits from their acceptance until every process has them.
+/// Times edits until their acceptance, and from then until they are in force in every process.
 pub(super) async fn edit_times(fleet: &mut Fleet) -> Result<Value, CapacityError> {
     let (mut accepted_ms, mut in_force_ms, mut last_ms) = (Vec::new(), Vec::new(), Vec::new());
     for number in 0..TIMED_EDITS {
@@ -54,9 +55,9 @@
     }))
 }
 
-/// Makes edits at an even pace, and tells what each costs beside idle control.
+/// Makes edits at regular intervals, and returns the usage with them and that of an idle window.
 pub(super) async fn edits(fleet: &mut Fleet, edits: u32) -> Result<Value, CapacityError> {
-    let idle = use_in(fleet, sleep(EDIT_WINDOW)).await?;
+    let idle = usage_during(fleet, sleep(EDIT_WINDOW)).await?;
     let before = Usage::now(fleet).await?;
     let started = Instant::now();
     let pause = EDIT_WINDOW / edits.max(1);
@@ -71,15 +72,15 @@
     Ok(json!({
         "edits": edits, "window_s": took_s,
         "behind_at_end_ms": Spread::of(behind_ms),
-        "idle": idle.shown(fleet), "with_edits": used.shown(fleet),
+        "idle": idle.to_json(fleet), "with_edits": used.to_json(fleet),
     }))
 }
 
-/// Changes the host list, and tells what each change costs an entry.
+/// Changes the host list, and returns the usage with the changes and that of an idle window.
 pub(super) async fn host_changes(fleet: &Fleet, listed: u32) -> Result<Value, CapacityError> {
-    fleet.show_hosts(listed).await?;
-    sleep(HOST_LOOK).await;
-    let idle = use_in(fleet, sleep(HOST_LOOK * HOST_CHANGES)).await?;
+    fleet.publish_hosts(listed).await?;
+    sleep(HOST_LIST_DELAY).await;
+    let idle = usage_during(fleet, sleep(HOST_LIST_DELAY * HOST_CHANGES)).await?;
     let changing = async {
         for number in 0..HOST_CHANGES {
             let state = match number % 2 {
@@ -87,29 +88,29 @@
                 _ => HostState::Live,
             };
             let _ = fleet.change_host(state).await;
-            sleep(HOST_LOOK).await;
+            sleep(HOST_LIST_DELAY).await;
         }
     };
-    let used = use_in(fleet, changing).await?;
+    let used = usage_during(fleet, changing).await?;
     Ok(json!({
         "listed_hosts": listed, "changes": HOST_CHANGES,
-        "idle": idle.shown(fleet), "with_changes": used.shown(fleet),
+        "idle": idle.to_json(fleet), "with_changes": used.to_json(fleet),
     }))
 }
 
-/// Makes calls that may not be repeated, and tells what each costs the table.
+/// Makes calls that must not be repeated, and returns the number of table writes per call.
 pub(super) async fn claims(fleet: &Fleet, calls: u32) -> Result<Value, CapacityError> {
     let platform_before = fleet.platform_counts().await?;
     let before = Usage::now(fleet).await?;
     let started = Instant::now();
     let mut workers = JoinSet::new();
-    for worker in 0..OPEN_CLAIMS {
+    for worker in 0..CLAIM_CONCURRENCY {
         let url = fleet.entry_url("/v1/services/work/settlements");
-        workers.spawn(settle_some(url, worker, calls / OPEN_CLAIMS));
+        workers.spawn(settle_some(url, worker, calls / CLAIM_CONCURRENCY));
     }
     let mut complete = 0;
-    while let Some(done) = workers.join_next().await {
-        complete += done.unwrap_or(0);
+    while let Some(result) = workers.join_next().await {
+        complete += result.unwrap_or(0);
     }
     let took_s = started.elapsed().as_secs_f64();
     let used = Usage::now(fleet).await?.since(&before);
@@ -121,11 +122,12 @@
         "platform_writes": writes,
         "writes_per_call": float(writes) / f64::from(complete.max(1)),
         "refused_by_rate": platform.refused_rate - platform_before.refused_rate,
-        "use": used.shown(fleet),
+        "use": used.to_json(fleet),
     }))
 }
 
-/// Lets organisations call in turn at an even pace, and tells what their cost rows take.
+/// Makes calls of the organisations in rotation at regular intervals, and returns the table writes
+/// and the usage for their cost rows.
 pub(super) async fn costs(fleet: &Fleet, organisations: u32) -> Result<Value, CapacityError> {
     let platform_before = fleet.platform_counts().await?;
     let before = Usage::now(fleet).await?;
@@ -134,7 +136,7 @@
     let (mut calls, mut complete) = (0, 0);
     let window = Duration::from_millis(u64::from(fleet.size.window_ms)) * fleet.size.windows;
     while started.elapsed() < window {
-        sleep_until(started + COST_CALL_PAUSE * calls).await;
+        sleep_until(started + COST_CALL_INTERVAL * calls).await;
         let organisation = calls % organisations.max(1);
         complete += u32::from(call(&fleet.http, &url, organisation, None).await);
         calls += 1;
@@ -144,11 +146,11 @@
     Ok(json!({
         "organisations_active": organisations, "calls": calls, "complete": complete,
         "platform_writes": platform.writes - platform_before.writes,
-        "use": used.shown(fleet),
+        "use": used.to_json(fleet),
     }))
 }
 
-/// Streams tokens, and tells the processor time that each takes.
+/// Streams tokens, and returns the processor time per token.
 pub(super) async fn tokens(fleet: &Fleet, streams: u32) -> Result<Value, CapacityError> {
     let mut rounds = Vec::new();
     for _round in 0..fleet.size.windows {
@@ -159,8 +161,8 @@
             running.spawn(stream(fleet.entry_url("/v1/pipelines/generate")));
         }
         let mut tokens = 0;
-        while let Some(done) = running.join_next().await {
-            tokens += done.unwrap_or(0);
+        while let Some(result) = running.join_next().await {
+            tokens += result.unwrap_or(0);
         }
         let took_s = started.elapsed().as_secs_f64();
         let used = Usage::now(fleet).await?.since(&before);
@@ -179,7 +181,7 @@
     }))
 }
 
-/// What both roles have used by some time, or in some time.
+/// Resource usage of both roles since their start, or within a time span.
 #[derive(Debug)]
 struct Usage {
     at: Instant,
@@ -205,25 +207,25 @@
     }
 
     fn since(&self, before: &Self) -> Self {
-        let grown = |role: usize| {
-            let former = &before.control[role];
-            let grown = self.control[role].iter().map(|(name, count)| {
-                let old = former.iter().find(|(known, _)| known == name);
+        let increases = |role: usize| {
+            let earlier = &before.control[role];
+            let increases = self.control[role].iter().map(|(name, count)| {
+                let old = earlier.iter().find(|(known, _)| known == name);
                 (name.clone(), count - old.map_or(0, |(_, count)| *count))
             });
-            grown.filter(|(_, count)| *count > 0).collect()
+            increases.filter(|(_, count)| *count > 0).collect()
         };
         Self {
             at: self.at,
             cpu_ns: [0, 1].map(|role| self.cpu_ns[role] - before.cpu_ns[role]),
-            control: [grown(0), grown(1)],
+            control: [increases(0), increases(1)],
             reads: self.reads - before.reads,
             seconds: (self.at - before.at).as_secs_f64(),
         }
     }
 
-    /// The figures of each role: sums over its processes.
-    fn shown(&self, fleet: &Fleet) -> Value {
+    /// The usage of each role, as sums over its processes.
+    fn to_json(&self, fleet: &Fleet) -> Value {
         let role = |index: usize| {
             json!({
                 "processes": fleet.processes(ROLES[index]).len(),
@@ -238,13 +240,16 @@
     }
 }
 
-async fn use_in(fleet: &Fleet, work: impl Future<Output = ()>) -> Result<Usage, CapacityError> {
+async fn usage_during(
+    fleet: &Fleet,
+    work: impl Future<Output = ()>,
+) -> Result<Usage, CapacityError> {
     let before = Usage::now(fleet).await?;
     work.await;
     Ok(Usage::now(fleet).await?.since(&before))
 }
 
-/// Sets a weight that differs from the one before, as the tree refuses nothing then.
+/// An edit that sets a weight which differs from the previous one, so that the tree accepts it.
 fn weight_edit(number: u32) -> Result<TreeEdit, CapacityError> {
     let id: OrganisationId = name_of(number).parse()?;
     Ok(TreeEdit::Set {
@@ -264,7 +269,7 @@
     complete
 }
 
-/// Makes one call for an organisation; says whether it was answered in full.
+/// Makes one call for an organisation; whether it succeeded.
 async fn call(http: &HttpClient, url: &str, organisation: u32, key: Option<&str>) -> bool {
     let bearer = format!("Bearer {}", key_of(organisation));
     let mut headers = vec![
@@ -276,7 +281,7 @@
     reply.is_ok_and(|reply| reply.status.is_success())
 }
 
-/// Reads one stream of tokens; tells how many came.
+/// Reads one stream of tokens; returns their number.
 async fn stream(url: String) -> u32 {
     let bearer = format!("Bearer {}", key_of(0));
     let headers = [
--- a/crates/standins/src/load/capacity/process_usage.rs
+++ b/crates/standins/src/load/capacity/process_usage.rs
@@ -1,4 +1,4 @@
-//! Memory and processor time of a process, as the kernel counts them.
+//! Memory and processor time of a process, from `/proc`.
 
 use std::fs;
 use std::io;
@@ -6,11 +6,11 @@
 /// Memory and processor time of a process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct ProcessUsage {
-    /// Time on a processor since the start, over all threads.
+    /// Processor time since the start, over all threads.
     pub(super) cpu_ns: u64,
-    /// Resident memory, with program text that processes share.
+    /// Resident memory, with program text that is shared between processes.
     pub(super) resident_kib: u64,
-    /// Resident memory of its own.
+    /// Resident memory that is not shared.
     pub(super) anonymous_kib: u64,
 }
 
@@ -26,8 +26,8 @@
     }
 }
 
-/// Sums the threads: the kernel's figure for a whole process has a resolution of 10 ms, which is
-/// more than an idle process uses in a second.
+/// Sums the threads' times: the kernel's time of a whole process has a resolution of 10 ms, which
+/// is more than an idle process uses in a second.
 fn cpu_ns(id: u32) -> io::Result<u64> {
     let mut total_ns = 0;
     for thread in fs::read_dir(format!("/proc/{id}/task"))? {
--- a/crates/standins/src/load/capacity/role_window.rs
+++ b/crates/standins/src/load/capacity/role_window.rs
@@ -1,4 +1,4 @@
-//! What the processes of one role used while nothing but control went on.
+//! Resource usage of the processes of one role with control traffic only.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,18 +11,19 @@
 use super::process_usage::ProcessUsage;
 use super::spread::{Spread, divisor, float};
 
-/// What the processes of one role used in some windows of time.
+/// Resource usage of the processes of one role over several time windows.
 #[derive(Debug, Serialize)]
 pub(super) struct RoleWindow {
-    /// Processes of the role.
+    /// Number of processes of the role.
     processes: usize,
-    /// Share of one core of a process; the spread is over processes and windows.
+    /// Share of one core that a process uses; the spread is over processes and windows.
     cpu_percent: Spread,
     /// Resident memory of a process at the end.
     resident_mib: Spread,
-    /// Resident memory of a process that it does not share.
+    /// Resident memory of a process that is not shared, at the end.
     anonymous_mib: Spread,
-    /// Bytes a second between one process and the platform, headers included, as relayed.
+    /// Bytes per second between one process and the platform, headers included, counted by the
+    /// relay.
     platform_wire_bytes_per_s: Spread,
     /// Control counters of one process, as a mean per second.
     control_per_s: BTreeMap<String, f64>,
@@ -37,8 +38,8 @@
 }
 
 impl RoleWindow {
-    /// Watches both roles for the windows that the fleet's size asks for.
-    pub(super) async fn watch(fleet: &Fleet) -> Result<[Self; 2], CapacityError> {
+    /// Measures both roles over the windows that the fleet's size sets.
+    pub(super) async fn measure(fleet: &Fleet) -> Result<[Self; 2], CapacityError> {
         let length = Duration::from_millis(u64::from(fleet.size.window_ms));
         let roles = [Role::Entry, Role::Sidecar];
         let before = [
@@ -125,16 +126,16 @@
 }
 
 fn cpu_percents(pair: &[Sample]) -> Vec<f64> {
-    let passed_ns = (pair[1].at - pair[0].at).as_secs_f64() * 1e9;
+    let elapsed_ns = (pair[1].at - pair[0].at).as_secs_f64() * 1e9;
     let used = pair[0].usages.iter().zip(&pair[1].usages);
-    used.map(|(before, after)| float(after.cpu_ns - before.cpu_ns) / passed_ns * 100.0)
+    used.map(|(before, after)| float(after.cpu_ns - before.cpu_ns) / elapsed_ns * 100.0)
         .collect()
 }
 
 fn wire_rate(pair: &[Sample]) -> f64 {
-    let passed_s = (pair[1].at - pair[0].at).as_secs_f64();
+    let elapsed_s = (pair[1].at - pair[0].at).as_secs_f64();
     let bytes = float(pair[1].wire_bytes.saturating_sub(pair[0].wire_bytes));
-    bytes / passed_s / divisor(pair[0].usages.len())
+    bytes / elapsed_s / divisor(pair[0].usages.len())
 }
 
 fn rates(
--- a/crates/standins/src/load/capacity/spread.rs
+++ b/crates/standins/src/load/capacity/spread.rs
@@ -5,7 +5,7 @@
 /// A median with its range.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub(super) struct Spread {
-    /// Middle value; the upper one of two.
+    /// Middle value; the upper of the two middle values of an even number.
     pub(super) median: f64,
     /// Smallest value.
     pub(super) least: f64,
@@ -16,7 +16,7 @@
 }
 
 impl Spread {
-    /// The spread of some values; all zero without any.
+    /// The spread of some values; all zero without values.
     pub(super) fn of(values: impl IntoIterator<Item = f64>) -> Self {
         let mut values: Vec<f64> = values.into_iter().collect();
         values.sort_by(f64::total_cmp);
@@ -30,7 +30,7 @@
     }
 }
 
-/// A count as a number to reckon with.
+/// Converts a count to a float.
 #[expect(
     clippy::cast_precision_loss,
     reason = "counts of a sweep stay far below the 2^52 that a float holds exactly"
@@ -39,12 +39,12 @@
     count as f64
 }
 
-/// A number of things as a number to reckon with; never 0, as it divides.
+/// Converts a count to a divisor, which is at least 1.
 pub(super) fn divisor(count: usize) -> f64 {
     float(u64::try_from(count).unwrap_or(u64::MAX).max(1))
 }
 
-/// Three decimals are more than any of the measurements can tell.
+/// Rounds to three decimals, which exceeds the precision of all measurements.
 fn rounded(value: f64) -> f64 {
     (value * 1000.0).round() / 1000.0
 }
--- a/crates/standins/src/load/capacity/sweep.rs
+++ b/crates/standins/src/load/capacity/sweep.rs
@@ -1,4 +1,4 @@
-//! Which size changes from point to point.
+//! Sweeps over one size of a deployment.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -13,37 +13,37 @@
 use super::spread::float;
 use super::{limits, probes};
 
-/// Time for processes to settle after their start, before anything is measured.
-const SETTLE: Duration = Duration::from_secs(4);
-/// Time in which each process has met each other one, at the exchange time of that sweep.
-const MEET: Duration = Duration::from_secs(25);
-/// Exchange time at which all processes meet soon.
-const MEET_EXCHANGE_MS: u32 = 20;
-/// Organisations of the letter.
-const LETTER_ORGANISATIONS: u32 = 1300;
+/// Time between the start of the processes and the first measurement.
+const SETTLING_TIME: Duration = Duration::from_secs(4);
+/// Time in which each process connects to each other one, at `CONNECT_EXCHANGE_MS`.
+const CONNECT_TIME: Duration = Duration::from_secs(25);
+/// Interval of tree exchanges in the sweep of connections, short so that all processes connect soon.
+const CONNECT_EXCHANGE_MS: u32 = 20;
+/// Specified number of organisations.
+const SPECIFIED_ORGANISATIONS: u32 = 1300;
 
-/// Which size changes from point to point.
+/// Size that a sweep varies from point to point.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Sweep {
-    /// Sidecar processes, idle, then timed edits.
+    /// Sidecar processes: idle, then timed edits.
     Sidecars,
-    /// Entry processes, idle, then timed edits.
+    /// Entry processes: idle, then timed edits.
     Entries,
-    /// Organisations in the tree, idle, then timed edits.
+    /// Organisations in the tree: idle, then timed edits.
     Organisations,
-    /// Edits in a window of time.
+    /// Edits in a time window.
     Edits,
     /// Hosts in the host list.
     Hosts,
-    /// Open connections: sidecars, all of which have met all entries.
+    /// Open connections: sidecars, all of which are connected to all entries.
     Connections,
-    /// Calls that may not be repeated.
+    /// Calls that must not be repeated.
     Claims,
-    /// Organisations with costs between two writes of costs.
+    /// Organisations with new costs between two writes of costs.
     Costs,
-    /// Streams of tokens at once.
+    /// Concurrent token streams.
     Tokens,
-    /// Entries over which an organisation's limit is shared, in the core alone.
+    /// Entries that share an organisation's limit; simulated with the core's code only.
     Limits,
 }
 
@@ -62,7 +62,8 @@
         "limits",
     ];
 
-    /// The sweep of a name; the first one for an unknown name, which the command line refuses.
+    /// The sweep with this name; the first one for an unknown name, which the command line
+    /// rejects.
     pub(super) fn of(name: &str) -> Self {
         match name {
             "entries" => Self::Entries,
@@ -78,14 +79,14 @@
         }
     }
 
-    /// Measures one point after another and prints a line for each.
+    /// Measures the points in sequence and prints a line for each.
     pub(super) async fn run(
         self,
         size: FleetSize,
         points: Option<Vec<u32>>,
         binaries: Option<PathBuf>,
     ) -> Result<(), CapacityError> {
-        let points = points.unwrap_or_else(|| self.own_points().to_vec());
+        let points = points.unwrap_or_else(|| self.default_points().to_vec());
         for point in points {
             let figures = self.point(size, point, binaries.clone()).await?;
             println!("{figures}");
@@ -93,15 +94,15 @@
         Ok(())
     }
 
-    const fn own_points(self) -> &'static [u32] {
+    const fn default_points(self) -> &'static [u32] {
         match self {
             Self::Sidecars | Self::Connections => &[5, 20, 80, 200],
             Self::Entries => &[2, 5, 20, 40],
-            Self::Organisations => &[5, 80, 400, LETTER_ORGANISATIONS],
+            Self::Organisations => &[5, 80, 400, SPECIFIED_ORGANISATIONS],
             Self::Edits => &[1, 91, 910],
             Self::Hosts => &[0, 40, 200, 1030],
             Self::Claims => &[320, 3200],
-            Self::Costs => &[5, 80, LETTER_ORGANISATIONS],
+            Self::Costs => &[5, 80, SPECIFIED_ORGANISATIONS],
             Self::Tokens => &[4, 16, 64],
             Self::Limits => &[1, 2, 5, 20, 40, 120, 380],
         }
@@ -116,7 +117,7 @@
             },
             Self::Connections => FleetSize {
                 sidecars: point,
-                exchange_ms: MEET_EXCHANGE_MS,
+                exchange_ms: CONNECT_EXCHANGE_MS,
                 ..size
             },
             Self::Entries => FleetSize {
@@ -149,11 +150,11 @@
         binaries: Option<PathBuf>,
     ) -> Result<Value, CapacityError> {
         if self == Self::Limits {
-            return Ok(limits::share_refused(point));
+            return Ok(limits::refused_share(point));
         }
         let size = self.size_at(size, point);
         let mut fleet = Fleet::start(size, binaries).await?;
-        sleep(SETTLE).await;
+        sleep(SETTLING_TIME).await;
         let figures = self.measure(&mut fleet, point).await?;
         Ok(json!({"size": size, "point": point, "figures": figures}))
     }
@@ -162,7 +163,7 @@
         match self {
             Self::Sidecars | Self::Entries | Self::Organisations => idle_and_edits(fleet).await,
             Self::Connections => {
-                sleep(MEET).await;
+                sleep(CONNECT_TIME).await;
                 idle(fleet).await
             }
             Self::Edits => probes::edits(fleet, point).await,
@@ -184,11 +185,11 @@
     Ok(figures)
 }
 
-/// What both roles use, and what reaches the table, while only control goes on.
+/// Resource usage of both roles and calls of the table with control traffic only.
 async fn idle(fleet: &Fleet) -> Result<Value, CapacityError> {
     let before = fleet.platform_counts().await?;
     let started = tokio::time::Instant::now();
-    let [entries, sidecars] = RoleWindow::watch(fleet).await?;
+    let [entries, sidecars] = RoleWindow::measure(fleet).await?;
     let seconds = started.elapsed().as_secs_f64();
     let after = fleet.platform_counts().await?;
     Ok(json!({
--- a/crates/standins/src/load/demo_tree.rs
+++ b/crates/standins/src/load/demo_tree.rs
@@ -3,7 +3,7 @@
 use amaranthscale_core::version::{KeyHash, SettingsTree};
 use serde_json::json;
 
-/// Bearer key of the one organisation.
+/// Bearer key of the organisation `measure`.
 pub const DEMO_KEY: &str = "demo-measure";
 
 /// A tree with one paid organisation, a four-stage pipeline and an echo service.
--- a/crates/standins/src/load/load_report.rs
+++ b/crates/standins/src/load/load_report.rs
@@ -1,4 +1,4 @@
-//! Attainment, refusals and latencies of a load.
+//! Report of a load: attainment, refusals and latencies.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,30 +8,30 @@
 
 use super::CallerAnswer;
 
-/// Longest latency that is told apart.
+/// Maximum latency of the histograms; longer ones count as this.
 const MAX_LATENCY_MS: u64 = 10 * 60 * 1000;
-/// Answers kept to be shown.
+/// Maximum number of sample answers.
 const MAX_SAMPLES: usize = 3;
 
-/// What all callers of a load got.
+/// Results of all requests of a load.
 #[derive(Debug, Default)]
 pub struct LoadReport {
     classes: BTreeMap<String, ClassReport>,
-    organisations: BTreeMap<String, Attained>,
+    organisations: BTreeMap<String, AttainmentCounts>,
     codes: BTreeMap<u16, u64>,
-    came_back: BTreeMap<u16, u64>,
+    retried_codes: BTreeMap<u16, u64>,
     incorrect: u64,
     samples: Vec<CallerAnswer>,
 }
 
-/// Requests, and those of them that were answered in full within their deadline.
+/// Number of requests, and of those answered completely within their deadline.
 #[derive(Debug, Default)]
-struct Attained {
+struct AttainmentCounts {
     requests: u64,
     attained: u64,
 }
 
-/// Attainment by class and organisation, and what callers came back after.
+/// Attainment by class and organisation, and the result codes after which callers retried.
 #[derive(Debug)]
 pub struct LoadDetails<'a> {
     report: &'a LoadReport,
@@ -48,14 +48,14 @@
 }
 
 impl LoadReport {
-    /// Takes one answer in.
-    pub fn take(&mut self, answer: &CallerAnswer) {
+    /// Records one answer.
+    pub fn record(&mut self, answer: &CallerAnswer) {
         *self.codes.entry(answer.code).or_default() += 1;
         if answer.is_complete() && !answer.is_correct {
             self.incorrect += 1;
         }
-        for code in &answer.refused_codes {
-            *self.came_back.entry(*code).or_default() += 1;
+        for code in &answer.retried_codes {
+            *self.retried_codes.entry(*code).or_default() += 1;
         }
         let organisation = answer.organisation.clone();
         let attained = u64::from(answer.is_attained());
@@ -76,13 +76,13 @@
         }
     }
 
-    /// Some answers.
+    /// Sample answers.
     #[must_use]
     pub fn samples(&self) -> &[CallerAnswer] {
         &self.samples
     }
 
-    /// Attainment, goodput and retries of a load whose arrivals took so long.
+    /// Attainment, goodput and retries of a load whose arrivals lasted `duration`.
     #[must_use]
     pub const fn details(&self, duration: Duration) -> LoadDetails<'_> {
         LoadDetails {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Whether every request got its own whole answer.
+    /// Whether every request received its own complete answer.
     #[must_use]
     pub fn is_all_correct(&self) -> bool {
         let is_complete = |class: &ClassReport| class.complete == class.requests;
@@ -101,7 +101,7 @@
 
 impl Default for ClassReport {
     fn default() -> Self {
-        // Reached only with bounds out of order: a bug.
+        // Fails only for bounds out of order, which would be a bug.
         let latency_ms = Histogram::new_with_bounds(1, MAX_LATENCY_MS, 3).expect("valid bounds");
         Self {
             requests: 0,
@@ -152,15 +152,15 @@
             write_share(f, report.attained, report.requests)?;
             writeln!(f)?;
         }
-        let came_back = self.report.came_back.iter();
-        let came_back = came_back.map(|(code, count)| format!("{code} x {count}"));
-        let came_back = came_back.collect::<Vec<_>>().join(", ");
-        write!(f, "came back after: {came_back}")
+        let retried_codes = self.report.retried_codes.iter();
+        let retried_codes = retried_codes.map(|(code, count)| format!("{code} x {count}"));
+        let retried_codes = retried_codes.collect::<Vec<_>>().join(", ");
+        write!(f, "came back after: {retried_codes}")
     }
 }
 
 fn write_share(f: &mut fmt::Formatter<'_>, part: u64, whole: u64) -> fmt::Result {
-    // Tenths of a percent in whole numbers.
+    // Tenths of a percent, as an integer.
     let tenths = part * 1000 / whole.max(1);
     write!(
         f,
--- a/crates/standins/src/load/measure.rs
+++ b/crates/standins/src/load/measure.rs
@@ -1,4 +1,4 @@
-//! Measures what the system itself costs, on an embedded deployment.
+//! Measures the system's own overhead and throughput on an embedded deployment.
 
 mod overhead;
 mod throughput;
@@ -38,7 +38,7 @@
         )
 }
 
-/// Runs the measurement that was asked for.
+/// Runs the requested measurement.
 pub fn run(matches: &ArgMatches) -> Result<(), String> {
     let runtime = tokio::runtime::Runtime::new().map_err(|error| error.to_string())?;
     let measured = match matches.subcommand() {
--- a/crates/standins/src/load/measure/overhead.rs
+++ b/crates/standins/src/load/measure/overhead.rs
@@ -11,10 +11,10 @@
 use crate::load::demo_tree::{DEMO_KEY, demo_tree};
 use crate::service::ServiceSettings;
 
-/// Calls before the first round, so that connections are open and code is warm.
+/// Warm-up calls before the first round, which open connections and fill caches.
 const WARM_UP: u32 = 200;
 
-/// Calls a plain service directly and through the system, in turn, and prints both.
+/// Calls a plain service directly and through the system alternately, and prints both latencies.
 pub(super) async fn measure(rounds: u32, requests: u32) -> Result<(), Box<dyn Error>> {
     let deployment = Deployment::start(plan(demo_tree())?).await?;
     let entry = deployment.entries().next().ok_or("no entry has started")?;
--- a/crates/standins/src/load/measure/throughput.rs
+++ b/crates/standins/src/load/measure/throughput.rs
@@ -1,4 +1,4 @@
-//! Four-stage requests a second through one entry.
+//! Four-stage requests per second through one entry.
 
 use std::error::Error;
 
@@ -12,10 +12,10 @@
 
 /// Backend servers of each stage.
 const SERVERS_EACH: u32 = 3;
-/// Attempts that each backend server takes at once.
+/// Attempts that each backend server runs at once.
 const SLOTS: u32 = 256;
 
-/// Sends rounds of four-stage requests and prints how many were answered a second.
+/// Sends rounds of four-stage requests and prints the rate of complete answers.
 pub(super) async fn measure(
     rounds: u32,
     requests: u32,
--- a/crates/standins/src/load/run.rs
+++ b/crates/standins/src/load/run.rs
@@ -1,8 +1,8 @@
 //! An open-loop load on running entries.
 //!
-//! Arrivals keep their times whatever the answers do: a closed loop would slow down with the
-//! system and so hide what callers suffer. Each caller comes back when told to, until its
-//! deadline has passed.
+//! Arrival times don't depend on the answers: a closed loop would slow down with the system and
+//! hide the latency that callers experience. Each caller retries after the delay that a refusal
+//! states, until its deadline has passed.
 
 mod arrivals;
 mod load_plan;
@@ -53,7 +53,7 @@
         .args([config, entry])
 }
 
-/// Runs the load that was asked for.
+/// Runs the requested load.
 pub fn run(matches: &ArgMatches) -> Result<(), String> {
     let entries: Vec<SocketAddr> = matches
         .get_many("entry")
@@ -80,12 +80,12 @@
     Ok(())
 }
 
-/// Sends a load at its times, and waits for all answers only after the last arrival.
+/// Sends requests at their arrival times, and waits for answers only after the last arrival.
 pub async fn send(plan: &LoadPlan, entries: &[SocketAddr]) -> LoadReport {
     let started = Instant::now();
     let mut random = SmallRng::seed_from_u64(plan.seed);
     let callers: Vec<Caller> = plan.organisations.iter().map(caller).collect();
-    let mut asking = JoinSet::new();
+    let mut in_flight = JoinSet::new();
     for (number, arrival) in Arrivals::of(plan).enumerate() {
         sleep_until(started + arrival.at).await;
         let (Some(caller), Some(load)) = (
@@ -97,14 +97,14 @@
         let entry = entries[random.random_range(0..entries.len())];
         let marker = format!("{}-{}-{number}", load.organisation, plan.seed);
         let prefix = load.prefix(random.random_range(0..load.prefixes));
-        let asked = ask(caller.clone(), load.clone(), entry, prefix, marker);
-        asking.spawn(asked);
+        let request = ask(caller.clone(), load.clone(), entry, prefix, marker);
+        in_flight.spawn(request);
     }
     let mut report = LoadReport::default();
-    while let Some(answer) = asking.join_next().await {
-        // A task that panicked is a bug, and shows as a request that is missing.
+    while let Some(answer) = in_flight.join_next().await {
+        // A task that panicked is a bug, and shows as a missing request in the report.
         if let Ok(answer) = answer {
-            report.take(&answer);
+            report.record(&answer);
         }
     }
     report
@@ -112,9 +112,9 @@
 
 fn caller(load: &OrganisationLoad) -> Caller {
     Caller::new(&load.organisation, load.class.to_string(), &load.key)
-        .within(load.deadline)
-        .asking_for_tokens(load.max_tokens)
-        .giving_up_at_deadline()
+        .with_deadline(load.deadline)
+        .with_max_tokens(load.max_tokens)
+        .with_total_deadline()
 }
 
 async fn ask(
--- a/crates/standins/src/load/run/arrivals.rs
+++ b/crates/standins/src/load/run/arrivals.rs
@@ -1,4 +1,4 @@
-//! Times at which requests arrive.
+//! Arrival times of requests.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use super::{LoadPlan, OrganisationLoad};
 
-/// Mixes an organisation's place into the seed, so that organisations arrive independently.
+/// Added to the seed for each organisation, so that their arrivals are independent.
 const SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// One request's arrival.
@@ -15,14 +15,14 @@
 pub struct Arrival {
     /// Time after the start.
     pub at: Duration,
-    /// Place of the organisation in the plan.
+    /// Index of the organisation in the plan.
     pub organisation: usize,
 }
 
-/// All arrivals of a plan in order of their times.
+/// All arrivals of a plan, ordered by time.
 ///
-/// Each organisation's arrivals are a Poisson process whose rate rises in bursts; the same plan
-/// and seed give the same times.
+/// Each organisation's arrivals are a Poisson process with a higher rate in bursts; the same plan
+/// and seed produce the same times.
 #[derive(Debug)]
 pub struct Arrivals {
     arrivals: std::vec::IntoIter<Arrival>,
@@ -53,19 +53,19 @@
     }
 }
 
-/// Draws at the highest rate and keeps as many as the rate at each time wants.
+/// Draws arrivals at the maximum rate and thins them to the rate at each time.
 fn times(load: &OrganisationLoad, duration: Duration, seed: u64) -> Vec<Duration> {
-    let highest = load.highest_rate_per_s();
+    let max_rate_per_s = load.max_rate_per_s();
     let mut random = SmallRng::seed_from_u64(seed);
     let (mut times, mut at_s) = (Vec::new(), 0.0);
     loop {
         let uniform: f64 = random.random_range(f64::EPSILON..1.0);
-        at_s -= uniform.ln() / highest;
+        at_s -= uniform.ln() / max_rate_per_s;
         if at_s >= duration.as_secs_f64() {
             return times;
         }
         let at = Duration::from_secs_f64(at_s);
-        if random.random_range(0.0..highest) < load.rate_at(at) {
+        if random.random_range(0.0..max_rate_per_s) < load.rate_at(at) {
             times.push(at);
         }
     }
--- a/crates/standins/src/load/run/load_plan.rs
+++ b/crates/standins/src/load/run/load_plan.rs
@@ -1,4 +1,4 @@
-//! What a load consists of, as an INI file states it.
+//! Plan of a load, read from an INI file.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -7,13 +7,13 @@
 
 use super::{CallKind, LoadPlanError, OrganisationLoad};
 
-/// Section of what holds for the whole load.
-const LOAD: &str = "load";
-/// What the name of an organisation's section starts with.
-const ORGANISATION: &str = "organisation ";
-/// Keys of the whole load.
+/// Section with the settings of the whole load.
+const LOAD_SECTION: &str = "load";
+/// Prefix of the names of organisations' sections.
+const ORGANISATION_PREFIX: &str = "organisation ";
+/// Keys of the section of the whole load.
 const LOAD_KEYS: &[&str] = &["duration_ms", "seed"];
-/// Keys of one organisation.
+/// Keys of an organisation's section.
 const ORGANISATION_KEYS: &[&str] = &[
     "class",
     "key",
@@ -29,26 +29,26 @@
     "burst_factor",
 ];
 
-/// What a load consists of.
+/// Plan of a load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadPlan {
-    /// Time in which requests arrive.
+    /// Duration of the arrivals.
     pub duration: Duration,
     /// Seed of all random choices.
     pub seed: u64,
-    /// Who asks for what.
+    /// Load of each organisation.
     pub organisations: Vec<OrganisationLoad>,
 }
 
 impl LoadPlan {
-    /// Reads a plan; the file's name stands in errors.
+    /// Parses a plan; errors contain the file's name.
     pub fn parse(file: impl AsRef<str>, text: impl AsRef<str>) -> Result<Self, LoadPlanError> {
         let file = file.as_ref();
         let ini = Ini::load_from_str(text.as_ref())
             .map_err(|error| LoadPlanError::Malformed(file.to_owned(), error.to_string()))?;
         let empty = Properties::new();
-        let properties = ini.section(Some(LOAD)).unwrap_or(&empty);
-        let load = Section::new(file, LOAD, properties, LOAD_KEYS)?;
+        let properties = ini.section(Some(LOAD_SECTION)).unwrap_or(&empty);
+        let load = Section::new(file, LOAD_SECTION, properties, LOAD_KEYS)?;
         let mut plan = Self {
             duration: load.duration_ms("duration_ms", Some(30_000))?,
             seed: load.get("seed", Some(1), "a whole number")?,
@@ -70,10 +70,10 @@
     name: Option<&str>,
     properties: &Properties,
 ) -> Result<Option<OrganisationLoad>, LoadPlanError> {
-    let Some(name) = name.filter(|name| *name != LOAD) else {
+    let Some(name) = name.filter(|name| *name != LOAD_SECTION) else {
         return Ok(None);
     };
-    let Some(organisation) = name.strip_prefix(ORGANISATION) else {
+    let Some(organisation) = name.strip_prefix(ORGANISATION_PREFIX) else {
         let (file, section, key) = (file.to_owned(), name.to_owned(), "(section)".to_owned());
         return Err(LoadPlanError::Unknown(file, section, key));
     };
@@ -102,12 +102,12 @@
         burst_factor: section.positive("burst_factor", Some(1.0))?,
     };
     if load.prefixes == 0 {
-        return Err(section.bad("prefixes", "0", "a whole number of 1 or more"));
+        return Err(section.invalid_value("prefixes", "0", "a whole number of 1 or more"));
     }
     Ok(load)
 }
 
-/// One section, whose errors name it.
+/// One section of a file, both of which errors name.
 struct Section<'a> {
     file: &'a str,
     name: &'a str,
@@ -121,7 +121,7 @@
         properties: &'a Properties,
         keys: &[&str],
     ) -> Result<Self, LoadPlanError> {
-        // A misspelt key would leave its default in force unseen.
+        // A misspelt key would silently leave the default in force.
         if let Some((key, _)) = properties.iter().find(|(key, _)| !keys.contains(key)) {
             let (file, section) = (file.to_owned(), name.to_owned());
             return Err(LoadPlanError::Unknown(file, section, key.to_owned()));
@@ -145,7 +145,7 @@
         };
         text.parse()
             .ok()
-            .ok_or_else(|| self.bad(key, text, accepted))
+            .ok_or_else(|| self.invalid_value(key, text, accepted))
     }
 
     fn positive(&self, key: &'static str, default: Option<f64>) -> Result<f64, LoadPlanError> {
@@ -154,7 +154,7 @@
         if number.is_finite() && number > 0.0 {
             Ok(number)
         } else {
-            Err(self.bad(key, number.to_string(), accepted))
+            Err(self.invalid_value(key, number.to_string(), accepted))
         }
     }
 
@@ -165,12 +165,17 @@
     ) -> Result<Duration, LoadPlanError> {
         let accepted = "milliseconds, 1 or more";
         match self.get(key, default_ms, accepted)? {
-            0 => Err(self.bad(key, "0", accepted)),
+            0 => Err(self.invalid_value(key, "0", accepted)),
             ms => Ok(Duration::from_millis(ms)),
         }
     }
 
-    fn bad(&self, key: &str, value: impl Into<String>, accepted: &'static str) -> LoadPlanError {
+    fn invalid_value(
+        &self,
+        key: &str,
+        value: impl Into<String>,
+        accepted: &'static str,
+    ) -> LoadPlanError {
         let (file, section) = (self.file.to_owned(), self.name.to_owned());
         LoadPlanError::Value(file, section, key.to_owned(), value.into(), accepted)
     }
--- a/crates/standins/src/load/run/organisation_load.rs
+++ b/crates/standins/src/load/run/organisation_load.rs
@@ -1,4 +1,4 @@
-//! What one organisation asks for.
+//! Load of one organisation.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,15 +6,15 @@
 
 use amaranthscale_core::unit::Class;
 
-/// Characters of one repetition of a prompt's prefix.
+/// Text that is repeated to fill a prompt's prefix.
 const PREFIX_WORD: &str = "case file ";
 
-/// What kind of calls an organisation makes.
+/// Kind of an organisation's calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallKind {
-    /// Asks a pipeline; may be repeated.
+    /// Requests to a pipeline, which may be repeated.
     Ask,
-    /// Makes calls that may not be repeated, each under a key of its own.
+    /// Calls that must not be repeated, each with its own idempotency key.
     Settle,
 }
 
@@ -39,34 +39,34 @@
     }
 }
 
-/// What one organisation asks for, and how often.
+/// Kind, rate and size of one organisation's requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OrganisationLoad {
-    /// Organisation that asks.
+    /// Organisation that sends the requests.
     pub organisation: String,
-    /// Class of that organisation, by which answers are summed.
+    /// Class of that organisation; the report groups answers by it.
     pub class: Class,
     /// Bearer key of the organisation.
     pub key: String,
     /// Kind of its calls.
     pub kind: CallKind,
-    /// Path of the pipeline or service at the entry.
+    /// Path of the pipeline or service on the entry.
     pub path: String,
     /// Mean rate outside bursts.
     pub rate_per_s: f64,
     /// Time from arrival within which a complete answer counts.
     pub deadline: Duration,
-    /// Tokens that each answer has.
+    /// Number of tokens of each answer.
     pub max_tokens: u32,
-    /// Different prefixes of its prompts.
+    /// Number of different prompt prefixes.
     pub prefixes: u32,
-    /// Length of each prefix.
+    /// Minimum length of each prefix.
     pub prefix_bytes: usize,
-    /// Time from the start of one burst to the start of the next; none without bursts.
+    /// Time from the start of one burst to the start of the next; `None` without bursts.
     pub burst_every: Option<Duration>,
-    /// Length of a burst.
+    /// Duration of a burst.
     pub burst: Duration,
-    /// Multiple of the mean rate within a burst.
+    /// Factor of the mean rate within a burst.
     pub burst_factor: f64,
 }
 
@@ -85,16 +85,16 @@
         }
     }
 
-    /// The highest rate at any time.
+    /// The maximum rate at any time.
     #[must_use]
-    pub fn highest_rate_per_s(&self) -> f64 {
+    pub fn max_rate_per_s(&self) -> f64 {
         match self.burst_every {
             Some(_) => self.rate_per_s * self.burst_factor.max(1.0),
             None => self.rate_per_s,
         }
     }
 
-    /// One of the prefixes, at its length.
+    /// The prefix with this number, filled up to its length.
     #[must_use]
     pub fn prefix(&self, number: u32) -> String {
         let mut prefix = format!("{}-{number} ", self.organisation);
--- a/crates/standins/src/load/run/stage_costs.rs
+++ b/crates/standins/src/load/run/stage_costs.rs
@@ -1,4 +1,4 @@
-//! Cost by stage as entries show it.
+//! Cost by stage, as entries report it.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -22,18 +22,18 @@
 
 #[derive(Debug, Deserialize)]
 struct Decisions {
-    costs: Vec<Line>,
+    costs: Vec<CostLine>,
 }
 
 #[derive(Debug, Deserialize)]
-struct Line {
+struct CostLine {
     stage: String,
     #[serde(flatten)]
     totals: CostTotals,
 }
 
 impl StageCosts {
-    /// Reads what entries show.
+    /// Reads the costs from the entries' `/status`.
     pub(super) async fn read(entries: &[SocketAddr]) -> Result<Self, HttpError> {
         let http = HttpClient::new();
         let mut costs = Self::default();
@@ -47,14 +47,14 @@
         Ok(costs)
     }
 
-    /// What has come on top of earlier costs.
+    /// The costs added since an earlier reading.
     pub(super) fn since(&self, before: &Self) -> Self {
-        let grown = self.by_stage.iter().map(|(stage, totals)| {
-            let former = before.by_stage.get(stage).copied().unwrap_or_default();
-            (stage.clone(), difference(totals, &former))
+        let increases = self.by_stage.iter().map(|(stage, totals)| {
+            let earlier = before.by_stage.get(stage).copied().unwrap_or_default();
+            (stage.clone(), difference(totals, &earlier))
         });
         Self {
-            by_stage: grown.collect(),
+            by_stage: increases.collect(),
         }
     }
 }
@@ -79,7 +79,7 @@
     }
 }
 
-/// An entry that restarted in between counts from 0 again, which must not show as below 0.
+/// Saturates at 0, as an entry that restarted in between counts from 0 again.
 const fn difference(now: &CostTotals, before: &CostTotals) -> CostTotals {
     CostTotals {
         useful_attempts: now.useful_attempts.saturating_sub(before.useful_attempts),
