--- a/crates/standins/tests/operator_reports.rs
+++ b/crates/standins/tests/operator_reports.rs
@@ -1,4 +1,4 @@
-//! The operators' tool reads what a real entry tells.
+//! `amaranthctl` prints the reports of a real entry.
 
 use std::io::Write as _;
 
@@ -9,11 +9,11 @@
 use amaranthscale_standins::load::demo_tree::{DEMO_KEY, demo_tree};
 use amaranthscale_standins::service::ServiceSettings;
 
-/// An operator asks for status and cost, and is told that the entry's answer cannot be read. The
-/// cause: tool and entry each had their own form of the report, and no test joined the two.
+/// Guards against a tool that cannot parse the entry's status and cost reports: each side had its
+/// own form of the report, and no test ran the two together.
 #[tokio::test]
-async fn status_and_cost_of_a_real_entry_are_shown() {
-    // Arrange: one call has been made.
+async fn amaranthctl_prints_status_cost_and_tree_of_a_real_entry() {
+    // Arrange: one call, so that there is a cost to report.
     let service = "echo".parse().unwrap();
     let kind = BackendKind::Service(ServiceSettings::default());
     let plan = DeploymentPlan::new(demo_tree()).with_backends(service, kind, 1, 4);
@@ -23,14 +23,14 @@
     writeln!(key, "{OPERATOR_KEY}").unwrap();
     let bearer = format!("Bearer {DEMO_KEY}");
     let url = format!("http://{entry}/v1/services/echo/echo");
-    let called = HttpClient::new()
+    let answer = HttpClient::new()
         .post(url, &[("authorization", &bearer)], "{}")
         .await;
-    assert!(called.unwrap().status.is_success());
+    assert!(answer.unwrap().status.is_success());
 
     // Act
-    let mut printed = Vec::new();
-    for words in [
+    let mut outputs = Vec::new();
+    for subcommand in [
         ["status", ""],
         ["cost", ""],
         ["tree", "show"],
@@ -39,29 +39,31 @@
         let address = entry.to_string();
         let file = key.path().to_str().unwrap();
         let options = ["amaranthctl", "--entry", &address, "--key-file", file];
-        let words = words.into_iter().filter(|word| !word.is_empty());
+        let subcommand = subcommand
+            .into_iter()
+            .filter(|argument| !argument.is_empty());
         let matches = command()
-            .try_get_matches_from(options.into_iter().chain(words))
+            .try_get_matches_from(options.into_iter().chain(subcommand))
             .unwrap();
-        printed.push(run(&matches).await.unwrap());
+        outputs.push(run(&matches).await.unwrap());
     }
 
     // Assert
-    let measure: OrganisationId = "measure".parse().unwrap();
+    let organisation: OrganisationId = "measure".parse().unwrap();
     assert!(
-        printed[0].contains("\"host_list_version\""),
+        outputs[0].contains("\"host_list_version\""),
         "{}",
-        printed[0]
+        outputs[0]
     );
-    let cost = printed[1]
+    let cost_line = outputs[1]
         .lines()
-        .find(|line| line.starts_with(measure.as_str()));
+        .find(|line| line.starts_with(organisation.as_str()));
     assert!(
-        cost.is_some_and(|line| line.contains("echo")),
+        cost_line.is_some_and(|line| line.contains("echo")),
         "{}",
-        printed[1]
+        outputs[1]
     );
-    assert!(printed[2].starts_with("version 1"), "{}", printed[2]);
-    assert!(printed[3].starts_with("1 by deployment"), "{}", printed[3]);
+    assert!(outputs[2].starts_with("version 1"), "{}", outputs[2]);
+    assert!(outputs[3].starts_with("1 by deployment"), "{}", outputs[3]);
     deployment.stop().await;
 }
--- a/crates/standins/tests/orders_planner.rs
+++ b/crates/standins/tests/orders_planner.rs
@@ -1,4 +1,4 @@
-//! Planners that compete, and the placements that follow from the settings tree.
+//! Competing planners, and the placements that they derive from the settings tree.
 
 mod support;
 
@@ -19,17 +19,17 @@
 };
 use tokio::sync::Semaphore;
 
-/// Silence that no test reaches.
-const LONG_SILENCE: Duration = Duration::from_mins(10);
-/// Renewals of a lease during which a former holder would have written.
+/// Longer than any test runs.
+const LONG_TIMEOUT: Duration = Duration::from_mins(10);
+/// Lease renewals within which a former holder would have written.
 const RENEWALS: u64 = 3;
 
-/// Engines with their sidecars, listed as hosts.
+/// Starts engines with their sidecars and adds them to the host list.
 async fn engines(bench: &OrdersBench, count: u32) -> Vec<(Running, Sidecar)> {
     let mut engines = Vec::new();
     for number in 0..count {
         let engine = engine(true).await;
-        let sidecar = bench.sidecar(number, &engine, LONG_SILENCE).await;
+        let sidecar = bench.sidecar(number, &engine, LONG_TIMEOUT).await;
         bench.list(number, sidecar.address()).await;
         engines.push((engine, sidecar));
     }
@@ -38,43 +38,48 @@
 
 fn replicas(placement: &Placement, name: &str) -> Vec<u32> {
     let model = model(name);
-    let holds = |number: &u32| {
+    let has_model = |number: &u32| {
         let assignment = placement.assignments.get(&host(*number));
         assignment.is_some_and(|assignment| assignment.models.contains(&model))
     };
-    (0..10).filter(holds).collect()
+    (0..10).filter(has_model).collect()
 }
 
-/// Settings of a planner that believes in its lease for longer than any test lasts, so that on a
-/// busy machine it does not take the lease back from a successor that is merely slow.
-fn believing_planner() -> PlannerSettings {
+/// Settings of a planner whose lease outlasts any test, so that on a busy host it does not take
+/// the lease back from a successor that is merely slow.
+fn long_lease_planner() -> PlannerSettings {
     PlannerSettings {
-        lease_duration: LONG_SILENCE,
+        lease_duration: LONG_TIMEOUT,
         ..quick_planner()
     }
 }
 
-/// A gate that holds a planner before its write until it is released.
-struct HeldGate {
+/// Blocks a planner before its write until the test releases it.
+struct WriteBarrier {
     reached: Arc<Semaphore>,
     release: Arc<Semaphore>,
 }
 
-impl HeldGate {
+impl WriteBarrier {
     fn new() -> (Self, WriteGate) {
         let (reached, release) = (Arc::new(Semaphore::new(0)), Arc::new(Semaphore::new(0)));
-        let (at_gate, opened) = (Arc::clone(&reached), Arc::clone(&release));
+        let (gate_reached, gate_released) = (Arc::clone(&reached), Arc::clone(&release));
         let gate = WriteGate::new(move || {
-            let (at_gate, opened) = (Arc::clone(&at_gate), Arc::clone(&opened));
+            let (gate_reached, gate_released) =
+                (Arc::clone(&gate_reached), Arc::clone(&gate_released));
             async move {
-                at_gate.add_permits(1);
-                opened.acquire().await.expect("never closed").forget();
+                gate_reached.add_permits(1);
+                gate_released
+                    .acquire()
+                    .await
+                    .expect("never closed")
+                    .forget();
             }
         });
         (Self { reached, release }, gate)
     }
 
-    /// Waits until the planner has decided and is about to write.
+    /// Waits until the planner is about to write its decision.
     async fn reached(&self) {
         self.reached.acquire().await.expect("never closed").forget();
     }
@@ -86,37 +91,37 @@
 
 #[tokio::test]
 async fn the_late_write_of_a_paused_planner_fails() {
-    // Engines are sent to models that an operator has given up. A planner is paused between its
-    // decision and its write, another takes the lease over and has yet to write its plan, and the
-    // first wakes up still believing in its lease and writes. Only the check of the lease row in
-    // that transaction can stop it, as the placement row has not moved.
+    // Guards against engines that load models which an operator has removed. A planner is paused
+    // between its decision and its write; another acquires the lease but has not written its plan
+    // yet; the first resumes, takes its lease as valid, and writes. Only the check of the lease
+    // row in that transaction can stop it, as the placement row's version is unchanged.
     let bench = OrdersBench::start().await;
     let _engines = engines(&bench, 1).await;
     let settings = quick_planner();
-    let (first_gate, gate) = HeldGate::new();
+    let (first_barrier, gate) = WriteBarrier::new();
     let paused = bench
-        .planner("entry-1", tree(1, "old", 1), believing_planner(), gate)
+        .planner("entry-1", tree(1, "old", 1), long_lease_planner(), gate)
         .await;
-    first_gate.reached().await;
-    let (second_gate, gate) = HeldGate::new();
+    first_barrier.reached().await;
+    let (second_barrier, gate) = WriteBarrier::new();
     let successor = bench
         .planner("entry-2", tree(2, "new", 1), settings, gate)
         .await;
-    second_gate.reached().await;
+    second_barrier.reached().await;
 
-    first_gate.release();
-    until("the paused planner learns of it", async || {
+    first_barrier.release();
+    until("the paused planner detects the lost lease", async || {
         paused.count("lease_lost") == 1
     })
     .await;
     assert_eq!(bench.placement().await.0.version, RowVersion::default());
-    second_gate.release();
+    second_barrier.release();
     until("the successor writes its plan", async || {
         successor.count("placed") == 1
     })
     .await;
     let renewed = successor.count("lease_written");
-    until("the successor goes on", async || {
+    until("the successor renews its lease", async || {
         successor.count("lease_written") >= renewed + RENEWALS
     })
     .await;
@@ -130,18 +135,18 @@
 
 #[tokio::test]
 async fn a_paused_planner_does_not_overwrite_its_successor() {
-    // The same, but the successor has written its plan before the first planner wakes up.
+    // As above, but the successor has written its plan before the paused planner resumes.
     let bench = OrdersBench::start().await;
     let _engines = engines(&bench, 1).await;
     let settings = quick_planner();
-    let (first_gate, gate) = HeldGate::new();
+    let (first_barrier, gate) = WriteBarrier::new();
     let paused = bench
-        .planner("entry-1", tree(1, "old", 1), believing_planner(), gate)
+        .planner("entry-1", tree(1, "old", 1), long_lease_planner(), gate)
         .await;
-    first_gate.reached().await;
-    let open = WriteGate::default();
+    first_barrier.reached().await;
+    let open_gate = WriteGate::default();
     let successor = bench
-        .planner("entry-2", tree(2, "new", 1), settings, open)
+        .planner("entry-2", tree(2, "new", 1), settings, open_gate)
         .await;
     until("the successor writes its plan", async || {
         successor.count("placed") == 1
@@ -149,13 +154,14 @@
     .await;
     let (before, _) = bench.placement().await;
 
-    first_gate.release();
-    until("the paused planner learns of it", async || {
-        paused.count("overtaken") == 1
-    })
+    first_barrier.release();
+    until(
+        "the paused planner detects the newer placement",
+        async || paused.count("overtaken") == 1,
+    )
     .await;
     let renewed = successor.count("lease_written");
-    until("the successor goes on", async || {
+    until("the successor renews its lease", async || {
         successor.count("lease_written") >= renewed + RENEWALS
     })
     .await;
@@ -166,23 +172,23 @@
 }
 
 #[tokio::test]
-async fn a_planner_with_an_older_tree_undoes_nothing() {
-    // An accepted edit is undone for seconds. The planner that had carried it out stops, and its
-    // successor has not heard of the edit yet.
+async fn a_planner_with_an_older_tree_keeps_the_placement() {
+    // Guards against an accepted edit that is undone for seconds: the planner that applied it
+    // stops, and its successor has not received the edit yet.
     let bench = OrdersBench::start().await;
     let _engines = engines(&bench, 1).await;
-    let (settings, open) = (quick_planner(), WriteGate::default());
+    let (settings, open_gate) = (quick_planner(), WriteGate::default());
     let first = bench
-        .planner("entry-1", tree(2, "new", 1), settings, open.clone())
+        .planner("entry-1", tree(2, "new", 1), settings, open_gate.clone())
         .await;
     let mut statuses = first.handle.statuses();
     let placed = statuses.wait_for(|status| status.placement_version.get() > 0);
-    placed.await.expect("the planner lives");
+    placed.await.expect("the planner runs");
     let (before, _) = bench.placement().await;
     first.handle.stop();
 
     let successor = bench
-        .planner("entry-2", tree(1, "old", 1), settings, open)
+        .planner("entry-2", tree(1, "old", 1), settings, open_gate)
         .await;
     until("the successor holds the lease", async || {
         successor.count("tree_behind") >= RENEWALS
@@ -191,7 +197,7 @@
     assert_eq!(bench.placement().await.0, before);
 
     successor.tree.send_replace(Arc::new(tree(3, "newest", 1)));
-    until("the successor plans by the newer tree", async || {
+    until("the successor plans from the newer tree", async || {
         replicas(&bench.placement().await.1, "newest") == [0]
     })
     .await;
@@ -199,13 +205,14 @@
 
 #[tokio::test]
 async fn a_replica_is_replaced_when_its_host_leaves() {
-    // A model has one replica too few after a host has left, and requests queue at the others. Nor
-    // may the leaving engine be told to unload, as requests still run on it.
+    // Guards against a model that stays one replica short after a host leaves, so that requests
+    // queue at the others. The leaving engine must not be ordered to unload, as requests still run
+    // on it.
     let bench = OrdersBench::start().await;
     let engines = engines(&bench, 3).await;
-    let (settings, open) = (quick_planner(), WriteGate::default());
+    let (settings, open_gate) = (quick_planner(), WriteGate::default());
     let _planner = bench
-        .planner("entry-1", tree(1, "assay", 2), settings, open)
+        .planner("entry-1", tree(1, "assay", 2), settings, open_gate)
         .await;
     bench.until_loaded(&engines[0].0, &["assay"]).await;
     bench.until_loaded(&engines[1].0, &["assay"]).await;
@@ -215,29 +222,37 @@
 
     let (_, placement) = bench.placement().await;
     assert_eq!(replicas(&placement, "assay"), [1, 2]);
-    let left = bench.orders(&engines[0].0).await;
-    assert_eq!(left.models, [model("assay")]);
+    let leaving_orders = bench.orders(&engines[0].0).await;
+    assert_eq!(leaving_orders.models, [model("assay")]);
     let is_unload = |order: &EngineOrder| matches!(order, EngineOrder::UnloadModel(_));
-    assert!(!left.history.iter().any(|record| is_unload(&record.order)));
+    assert!(
+        !leaving_orders
+            .history
+            .iter()
+            .any(|record| is_unload(&record.order))
+    );
 }
 
 #[tokio::test]
-async fn engines_are_left_alone_once_no_model_is_wanted() {
-    // An operator takes a service's models out of the tree to load them by hand, and its engines
-    // unload each of them again. The last placement still names them.
+async fn engines_keep_their_models_once_the_tree_lists_none() {
+    // An operator removes a service's models from the tree to load them by hand. Guards against
+    // engines that unload them again because the last placement still lists the engines.
     let bench = OrdersBench::start().await;
     let engines = engines(&bench, 1).await;
-    let (settings, open) = (quick_planner(), WriteGate::default());
-    let wanted = tree(1, "assay", 1);
-    let none = wanted.tree().apply(&TreeEdit::PutService {
+    let (settings, open_gate) = (quick_planner(), WriteGate::default());
+    let with_model = tree(1, "assay", 1);
+    let without_model = with_model.tree().apply(&TreeEdit::PutService {
         id: pool(),
         service: Service::repeatable(),
     });
-    let none = CompiledTree::new(none.expect("the edit holds")).expect("the tree holds");
-    let planner = bench.planner("entry-1", wanted, settings, open).await;
+    let without_model =
+        CompiledTree::new(without_model.expect("the edit is valid")).expect("the tree is valid");
+    let planner = bench
+        .planner("entry-1", with_model, settings, open_gate)
+        .await;
     bench.until_loaded(&engines[0].0, &["assay"]).await;
 
-    planner.tree.send_replace(Arc::new(none));
+    planner.tree.send_replace(Arc::new(without_model));
     until("the placement names no engine", async || {
         let (row, placement) = bench.placement().await;
         row.version > RowVersion::new(1) && placement.assignments.is_empty()
@@ -246,7 +261,7 @@
     let (row, _) = bench.placement().await;
     let http = HttpClient::http2();
     let url = format!("http://{}/status", engines[0].1.address());
-    until("the sidecar goes by it", async || {
+    until("the sidecar has read the placement", async || {
         let status: Value = http.get_json(&url).await.expect("the sidecar answers");
         status["engine"]["placement_version"] == row.version.get()
     })
@@ -258,9 +273,9 @@
 }
 
 #[tokio::test]
-async fn the_pace_of_the_weight_store_is_kept() {
-    // After an edit no engine serves the new model for minutes. All load it at once, and the weight
-    // store limits them all.
+async fn concurrent_loads_stay_within_the_limit_of_the_weight_store() {
+    // Guards against an edit after which no engine serves the new model for minutes: all load it
+    // at once, and the weight store limits the rate of each.
     let bench = OrdersBench::start().await;
     let engines = engines(&bench, 4).await;
     let frozen = |frozen| BackendFaults {
@@ -274,9 +289,9 @@
         limits: PlanLimits { loads_per_store: 1 },
         ..quick_planner()
     };
-    let open = WriteGate::default();
+    let open_gate = WriteGate::default();
     let planner = bench
-        .planner("entry-1", tree(1, "assay", 4), settings, open)
+        .planner("entry-1", tree(1, "assay", 4), settings, open_gate)
         .await;
 
     for loaded in 0..4 {
@@ -285,7 +300,7 @@
         })
         .await;
         let renewed = planner.count("lease_written");
-        until("the planner has had time for another", async || {
+        until("the planner has had time to place another", async || {
             planner.count("lease_written") > renewed
         })
         .await;
@@ -303,8 +318,8 @@
 
 #[tokio::test]
 async fn an_edit_of_the_tree_reaches_the_engines() {
-    // An operator wants a model on two engines and sees nothing happen. Some link between the
-    // edit, the planner, the placement, the sidecars and the engines is missing.
+    // Guards against an edit without effect because a step between the edit, the planner, the
+    // placement, the sidecars and the engines is missing.
     let bench = OrdersBench::start().await;
     let engines = engines(&bench, 2).await;
     let config = EntryConfig {
--- a/crates/standins/tests/orders_sidecar.rs
+++ b/crates/standins/tests/orders_sidecar.rs
@@ -1,4 +1,5 @@
-//! A sidecar's orders to its engine: read first, one at a time, only ever up.
+//! A sidecar's orders to its engine: sent after reading the placement, one at a time, with rising
+//! fencing numbers.
 
 mod support;
 
@@ -11,12 +12,12 @@
 use serde_json::{Value, json};
 use support::{OrdersBench, counted, engine, model, switch, until};
 
-/// Silence after which a test's sidecar gives an order up.
-const SHORT_SILENCE: Duration = Duration::from_millis(100);
-/// Silence that no test reaches.
-const LONG_SILENCE: Duration = Duration::from_mins(10);
-/// Turns of a sidecar that would have shown a wrong order.
-const TURNS: u64 = 5;
+/// Time after which a sidecar abandons an unanswered order.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Longer than any test runs.
+const LONG_TIMEOUT: Duration = Duration::from_mins(10);
+/// Failed reads of the placement within which a wrong order would have been sent.
+const FAILED_READS: u64 = 5;
 
 fn fences(orders: &OrderState) -> Vec<FencingNumber> {
     orders.history.iter().map(|order| order.fence).collect()
@@ -24,12 +25,12 @@
 
 #[tokio::test]
 async fn a_restarted_sidecar_reads_the_placement_before_its_first_order() {
-    // Requests for a model fail on one server. Its sidecar dies and starts again while the table is
-    // away, meets an engine whose models it does not know, and orders by what it remembers: nothing.
-    // The cause would be an order before the first look at the placement.
+    // Guards against requests that fail on one server because its sidecar sent orders before it
+    // read the placement. The sidecar restarts during an outage of the table, has no placement in
+    // memory, and does not know which models the engine runs.
     let bench = OrdersBench::start().await;
     let engine = engine(false).await;
-    let first = bench.sidecar(0, &engine, LONG_SILENCE).await;
+    let first = bench.sidecar(0, &engine, LONG_TIMEOUT).await;
     bench.place(0, &["old"]).await;
     bench.until_loaded(&engine, &["old"]).await;
     first.stop().await;
@@ -37,9 +38,9 @@
     let before = bench.orders(&engine).await;
 
     bench.outage(true).await;
-    let second = bench.sidecar(0, &engine, LONG_SILENCE).await;
+    let second = bench.sidecar(0, &engine, LONG_TIMEOUT).await;
     until("the restarted sidecar fails to read", async || {
-        counted(&second, "orders.placement_unread") >= TURNS
+        counted(&second, "orders.placement_unread") >= FAILED_READS
     })
     .await;
     assert_eq!(bench.orders(&engine).await, before, "no order yet");
@@ -53,7 +54,7 @@
     second.stop().await;
 }
 
-async fn a_silent_engine_ends_with_the_newest_placement(honours_fence: bool) {
+async fn check_frozen_engine_ends_with_newest_placement(honours_fence: bool) {
     let bench = OrdersBench::start().await;
     let engine = engine(honours_fence).await;
     let frozen = |frozen| BackendFaults {
@@ -61,17 +62,17 @@
         ..BackendFaults::default()
     };
     let faults = engine.url("/admin/faults");
-    let sidecar = bench.sidecar(0, &engine, SHORT_SILENCE).await;
+    let sidecar = bench.sidecar(0, &engine, SHORT_TIMEOUT).await;
     switch(&bench.client, &faults, &frozen(true)).await;
     bench.place(0, &["first"]).await;
-    until("an order is under way", async || {
+    until("an order is in flight", async || {
         counted(&sidecar, "orders.sent") >= 1
     })
     .await;
     bench.place(0, &["second"]).await;
     let newest = bench.place(0, &["third"]).await;
 
-    until("silent orders were replaced", async || {
+    until("unanswered orders were replaced", async || {
         counted(&sidecar, "orders.after_silence") >= 2
     })
     .await;
@@ -84,56 +85,56 @@
         orders.highest_fence,
         FencingNumber::new(newest.version.get())
     );
-    let turns = counted(&sidecar, "orders.sent");
+    let sent = counted(&sidecar, "orders.sent");
     bench.place(0, &["fourth"]).await;
     bench.until_loaded(&engine, &["fourth"]).await;
-    assert!(counted(&sidecar, "orders.sent") > turns);
+    assert!(counted(&sidecar, "orders.sent") > sent);
     assert!(fences(&bench.orders(&engine).await).is_sorted());
     sidecar.stop().await;
 }
 
 #[tokio::test]
-async fn an_engine_that_ignores_fences_never_goes_back() {
-    // An engine ends with the older of two placements. It hangs on one order while newer placements
-    // come, and when it goes on it carries the old order out last. The cause would be two orders
-    // under way at once.
-    a_silent_engine_ends_with_the_newest_placement(false).await;
+async fn an_engine_that_ignores_fences_ends_with_the_newest_placement() {
+    // Guards against two orders in flight at once: an engine hangs on one order while newer
+    // placements arrive, resumes, executes the old order last, and ends with the older placement.
+    check_frozen_engine_ends_with_newest_placement(false).await;
 }
 
 #[tokio::test]
-async fn an_engine_that_honours_fences_is_not_locked_out() {
-    // An engine refuses all orders for good. It hangs on one, its sidecar gives it up and sends a
-    // newer one, and what follows carries a number below the highest that the engine has seen.
-    a_silent_engine_ends_with_the_newest_placement(true).await;
+async fn an_engine_that_honours_fences_accepts_orders_after_a_timeout() {
+    // Guards against an engine that refuses every further order: it hangs on one order, its sidecar
+    // abandons that and sends a newer one, and later orders carry a fencing number below the
+    // highest that the engine has seen.
+    check_frozen_engine_ends_with_newest_placement(true).await;
 }
 
 #[tokio::test]
-async fn an_engine_that_has_forgotten_is_ordered_again() {
-    // Requests for a model fail on one server, while its sidecar shows that all is done. The engine
-    // has been told to unload by somebody else, or has restarted.
+async fn a_model_unloaded_by_others_is_loaded_again() {
+    // Guards against requests that fail on one server while its sidecar reports that all orders are
+    // done: the engine was ordered to unload by someone else, or has restarted.
     let bench = OrdersBench::start().await;
     let engine = engine(false).await;
-    let sidecar = bench.sidecar(0, &engine, LONG_SILENCE).await;
+    let sidecar = bench.sidecar(0, &engine, LONG_TIMEOUT).await;
     bench.place(0, &["kept"]).await;
     bench.until_loaded(&engine, &["kept"]).await;
 
     let order = json!({"fence": 1, "order": {"unload_model": "kept"}});
-    let unloaded: Value = bench
+    let reply: Value = bench
         .client
         .post_json(engine.url("/orders"), &order)
         .await
         .expect("the engine answers");
-    assert_eq!(unloaded["applied"], true);
+    assert_eq!(reply["applied"], true);
 
     bench.until_loaded(&engine, &["kept"]).await;
     sidecar.stop().await;
 }
 
 #[tokio::test]
-async fn the_status_shows_what_is_loaded() {
+async fn the_status_shows_loaded_models_and_the_placement() {
     let bench = OrdersBench::start().await;
     let engine = engine(true).await;
-    let sidecar = bench.sidecar(0, &engine, LONG_SILENCE).await;
+    let sidecar = bench.sidecar(0, &engine, LONG_TIMEOUT).await;
     let row = bench.place(0, &["assay-7b"]).await;
     let http = HttpClient::http2();
     let url = format!("http://{}/status", sidecar.address());
@@ -151,9 +152,9 @@
 }
 
 #[tokio::test]
-async fn a_load_that_fails_holds_up_no_other_and_is_tried_again() {
-    // Requests for two models fail on one server, though the engine could load one of them. The
-    // load of the first fails, and the order ends there.
+async fn a_failed_load_does_not_block_others_and_is_retried() {
+    // Guards against requests for two models that fail on one server although the engine could
+    // load one of them: the load of the first fails, and the sidecar stops there.
     let bench = OrdersBench::start().await;
     let engine = engine(true).await;
     let one_failure = BackendFaults {
@@ -161,7 +162,7 @@
         ..BackendFaults::default()
     };
     switch(&bench.client, engine.url("/admin/faults"), &one_failure).await;
-    let sidecar = bench.sidecar(0, &engine, LONG_SILENCE).await;
+    let sidecar = bench.sidecar(0, &engine, LONG_TIMEOUT).await;
 
     bench.place(0, &["a-fails", "b-loads"]).await;
     bench.until_loaded(&engine, &["a-fails", "b-loads"]).await;
@@ -176,19 +177,20 @@
 
 #[tokio::test]
 async fn a_refused_order_shows_in_the_status() {
-    // An engine runs none of its models and nobody sees why. Somebody has ordered it by hand with a
-    // number far above the placement's, and it refuses every order since.
+    // Guards against an engine that runs none of its models without a visible cause: an operator
+    // sent it an order with a fencing number far above the placement's, and it has refused every
+    // order since.
     let bench = OrdersBench::start().await;
     let engine = engine(true).await;
     let by_hand = json!({"fence": 1000, "order": {"set_role": "both"}});
-    let taken: Value = bench
+    let reply: Value = bench
         .client
         .post_json(engine.url("/orders"), &by_hand)
         .await
         .expect("the engine answers");
-    assert_eq!(taken["applied"], true);
+    assert_eq!(reply["applied"], true);
 
-    let sidecar = bench.sidecar(0, &engine, LONG_SILENCE).await;
+    let sidecar = bench.sidecar(0, &engine, LONG_TIMEOUT).await;
     bench.place(0, &["assay-7b"]).await;
     let http = HttpClient::http2();
     let url = format!("http://{}/status", sidecar.address());
--- a/crates/standins/tests/policy_bench.rs
+++ b/crates/standins/tests/policy_bench.rs
@@ -1,10 +1,10 @@
-//! Scenarios of the policy bench, each with fixed seeds on the virtual clock.
+//! Scenarios of the policy bench, with fixed seeds and a virtual clock.
 
 use amaranthscale_standins::policy::{Bench, Deployment, Figures, Mechanism, Mechanisms, Scenario};
 
-/// Seconds of arrivals before counting starts; series begin there.
-const FIRST_S: usize = 5;
-/// When the cause of the retry storm has ended and what it left in flight is over.
+/// Seconds of arrivals before counting starts; the series by second begin there.
+const WARM_UP_S: usize = 5;
+/// When the cause of the retry storm has ended and the requests then in flight are done.
 const AFTER_STORM_S: usize = 50;
 
 fn run(scenario: Scenario, mechanisms: Mechanisms, seed: u64) -> Figures {
@@ -12,56 +12,56 @@
 }
 
 fn after_storm(figures: &Figures) -> &[f64] {
-    &figures.paid_by_second[AFTER_STORM_S - FIRST_S..]
+    &figures.paid_by_second[AFTER_STORM_S - WARM_UP_S..]
 }
 
-fn least(shares: &[f64]) -> f64 {
+fn lowest(shares: &[f64]) -> f64 {
     shares.iter().copied().fold(1.0, f64::min)
 }
 
-fn most(shares: &[f64]) -> f64 {
+fn highest(shares: &[f64]) -> f64 {
     shares.iter().copied().fold(0.0, f64::max)
 }
 
-/// Generation is eight times as slow for ten seconds. Every caller whose request fails asks anew,
-/// up to five times. With retries at will the system is still down half a minute after the cause
-/// has gone, busy with work that nobody waits for. With the design it comes back and stays.
+/// Generation is eight times as slow for ten seconds, and callers retry failed requests up to five
+/// times. With unlimited retries the system is still overloaded half a minute after the cause has
+/// ended, busy with abandoned requests. With the design it recovers and stays up.
 #[test]
 fn a_retry_storm_ends_with_its_cause() {
     for seed in 1..=3 {
         let design = run(Scenario::RetryStorm, Mechanisms::design(), seed);
 
-        let least = least(after_storm(&design));
-        assert!(least >= 0.99, "seed {seed}: {least}");
+        let lowest = lowest(after_storm(&design));
+        assert!(lowest >= 0.99, "seed {seed}: {lowest}");
     }
 }
 
-/// The same storm with the baseline: the overload outlives its cause. Shows that the scenario is
-/// a storm, and that the test above would see one.
+/// The same scenario with the baseline: the overload outlives its cause. Shows that the scenario
+/// causes a storm, and that the test above would detect one.
 #[test]
 fn a_retry_storm_outlives_its_cause_in_the_baseline() {
     let baseline = run(Scenario::RetryStorm, Mechanisms::baseline(), 1);
 
-    let most = most(after_storm(&baseline));
-    assert!(most < 0.5, "{most}");
+    let highest = highest(after_storm(&baseline));
+    assert!(highest < 0.5, "{highest}");
 }
 
-/// The same storm where only cancelling is off: engines go on with what nobody waits for, and
-/// the overload outlives its cause.
+/// The same scenario with only cancellation disabled: engines continue abandoned requests, and the
+/// overload outlives its cause.
 #[test]
-fn without_cancelling_the_storm_stays() {
+fn a_retry_storm_outlives_its_cause_without_cancellation() {
     let mechanisms = Mechanisms::design().without(Mechanism::Cancel);
 
     let figures = run(Scenario::RetryStorm, mechanisms, 1);
 
-    let most = most(after_storm(&figures));
-    assert!(most < 0.5, "{most}");
+    let highest = highest(after_storm(&figures));
+    assert!(highest < 0.5, "{highest}");
 }
 
-/// Trials ask ten times as often, for more than twice what generation can do. Paid work keeps
-/// its attainment, and trials get what is left.
+/// Trial traffic rises tenfold, to more than twice the capacity of generation. Paid requests keep
+/// their attainment, and trials get the remaining capacity.
 #[test]
-fn paid_work_keeps_its_attainment_in_a_trial_surge() {
+fn paid_requests_keep_their_attainment_in_a_trial_surge() {
     for seed in 1..=3 {
         let figures = run(Scenario::TrialSurge, Mechanisms::design(), seed);
 
@@ -83,10 +83,10 @@
     }
 }
 
-/// A generation server freezes for eight seconds and thaws. On its old measurements it would
-/// refuse all work while it looks idle, and so draw more; requests would fail after the fault.
+/// A generation server freezes for eight seconds and resumes. With its old measurements it would
+/// refuse all work, look idle, and so attract more; requests would fail after the fault has ended.
 #[test]
-fn a_thawed_server_does_not_refuse_all_work() {
+fn a_resumed_server_does_not_refuse_all_work() {
     for seed in [2, 4, 5] {
         let figures = run(Scenario::ServerFreezes, Mechanisms::design(), seed);
 
@@ -98,10 +98,10 @@
     }
 }
 
-/// The platform's table is away for 25 seconds. Calls that may not be repeated are refused and
-/// truly did not run; nothing else notices.
+/// The platform's table is unavailable for 25 seconds. Calls that must not be repeated are refused
+/// and none of them ran; all other calls are unaffected.
 #[test]
-fn a_lost_table_stops_only_what_needs_it() {
+fn a_table_outage_refuses_only_calls_that_must_not_be_repeated() {
     let figures = run(Scenario::StoreAway, Mechanisms::design(), 1);
 
     assert!(
@@ -121,7 +121,7 @@
     );
 }
 
-/// A run is a function of its seed, so that a failure seen once can be seen again.
+/// A run depends on its seed alone, so that a failure can be reproduced.
 #[test]
 fn the_same_seed_gives_the_same_run() {
     let first = run(Scenario::Straggler, Mechanisms::design(), 9);
@@ -132,7 +132,8 @@
 }
 
 /// Every scenario in both deployments, with all mechanisms and with none, keeps the invariants
-/// that the bench asserts: one answer each, slots, refused work not run, a third ejected at most.
+/// that the bench asserts: one answer per request, no server above its slots, refused requests not
+/// run, at most a third of the servers ejected.
 #[test]
 fn invariants_hold_in_every_scenario() {
     for deployment in [Deployment::delta_basin(), Deployment::cedarline()] {
--- a/crates/standins/tests/standin_engine.rs
+++ b/crates/standins/tests/standin_engine.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in: batch, priorities, cache, orders, and each of its faults.
+//! The engine stand-in: batching, priorities, cache, orders, and each of its faults.
 
 #![expect(clippy::unwrap_used, reason = "a fixture that fails ends its test")]
 
@@ -15,7 +15,7 @@
 use support::{HeldClock, eventually, joined, settle, switch};
 use tokio::task::JoinHandle;
 
-/// Time of a token where a test needs sequences that do not end by themselves.
+/// Time per token in tests whose sequences must not end by themselves.
 const LONG_TOKEN_MS: u64 = 3_600_000;
 
 struct Fixture {
@@ -31,7 +31,7 @@
         }
     }
 
-    async fn switch(&self, faults: BackendFaults) {
+    async fn set_faults(&self, faults: BackendFaults) {
         switch(&self.client, self.engine.url("/admin/faults"), &faults).await;
     }
 
@@ -39,7 +39,7 @@
         call.send(&self.client, &self.engine.url("/run/")).await
     }
 
-    /// Runs in the background, over a connection of its own.
+    /// Sends a call in the background, over a separate connection.
     fn spawn_run(&self, call: EngineCall) -> JoinHandle<Result<HttpReply, HttpError>> {
         let url = self.engine.url("/run/");
         tokio::spawn(async move { call.send(&HttpClient::new(), &url).await })
@@ -127,8 +127,8 @@
     }
 }
 
-/// Settings that report the load without lag and take no time but for tokens.
-fn prompt_settings() -> EngineSettings {
+/// Settings without lag of reports and without processing time.
+fn zero_latency_settings() -> EngineSettings {
     EngineSettings {
         load_lag_ms: 0,
         cache_event_lag_ms: 0,
@@ -145,7 +145,7 @@
     EngineSettings {
         slots: 1,
         token_ms: LONG_TOKEN_MS,
-        ..prompt_settings()
+        ..zero_latency_settings()
     }
 }
 
@@ -155,14 +155,15 @@
 
 fn parse_lines(body: &[u8]) -> Vec<Value> {
     let lines = body.split(|byte| *byte == b'\n');
-    let full = lines.filter(|line| !line.is_empty());
-    full.map(|line| serde_json::from_slice(line).unwrap())
+    let non_empty = lines.filter(|line| !line.is_empty());
+    non_empty
+        .map(|line| serde_json::from_slice(line).unwrap())
         .collect()
 }
 
 #[tokio::test]
 async fn a_generation_ends_with_its_end_line() {
-    let fixture = Fixture::start(prompt_settings()).await;
+    let fixture = Fixture::start(zero_latency_settings()).await;
 
     let reply = fixture.run(generation("c1", 3)).await.unwrap();
 
@@ -177,8 +178,8 @@
 }
 
 #[tokio::test]
-async fn a_resumed_generation_is_the_tail_of_the_whole() {
-    let fixture = Fixture::start(prompt_settings()).await;
+async fn a_resumed_generation_returns_the_remaining_lines() {
+    let fixture = Fixture::start(zero_latency_settings()).await;
     let resumed = EngineCall {
         resume_token: 3,
         ..generation("c1", 5)
@@ -191,8 +192,8 @@
 }
 
 #[tokio::test]
-async fn an_operation_answers_for_its_own_input() {
-    let fixture = Fixture::start(prompt_settings()).await;
+async fn an_operation_answer_names_operation_input_digest_and_call() {
+    let fixture = Fixture::start(zero_latency_settings()).await;
     let call = EngineCall {
         operation: "reranking",
         ..generation("c1", 1)
@@ -207,8 +208,8 @@
 }
 
 #[tokio::test]
-async fn it_speaks_http2_too() {
-    let fixture = Fixture::start(prompt_settings()).await;
+async fn the_engine_accepts_http2() {
+    let fixture = Fixture::start(zero_latency_settings()).await;
 
     let url = fixture.engine.url("/run/");
     let reply = generation("c1", 2).send(&HttpClient::http2(), &url).await;
@@ -217,7 +218,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn who_waits_goes_by_priority_and_then_by_arrival() {
+async fn waiting_calls_start_by_priority_then_by_arrival() {
     let _clock = HeldClock::hold();
     let fixture = Fixture::start(endless_settings()).await;
     let running = fixture.spawn_run(generation("first", 1));
@@ -249,13 +250,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn sequences_that_run_together_slow_each_other() {
+async fn concurrent_sequences_slow_each_other_down() {
     let clock = HeldClock::hold();
     let settings = EngineSettings {
         slots: 2,
         token_ms: 100,
         batch_penalty: 0.5,
-        ..prompt_settings()
+        ..zero_latency_settings()
     };
     let fixture = Fixture::start(settings).await;
     let together = [
@@ -280,7 +281,7 @@
 async fn a_cached_prefix_shortens_the_prefill() {
     let settings = EngineSettings {
         prefill_ms_per_kib: 1_000,
-        ..prompt_settings()
+        ..zero_latency_settings()
     };
     let fixture = Fixture::start(settings).await;
 
@@ -295,10 +296,10 @@
 }
 
 #[tokio::test]
-async fn the_least_recently_used_prefix_gives_way() {
+async fn the_least_recently_used_prefix_is_evicted() {
     let settings = EngineSettings {
         prefix_cache_bytes: 2_500,
-        ..prompt_settings()
+        ..zero_latency_settings()
     };
     let fixture = Fixture::start(settings).await;
 
@@ -308,21 +309,21 @@
     }
 
     let events: Vec<CacheEvent> = fixture.get("/cache/events?after=2").await;
-    let told: Vec<_> = events.iter().map(|e| (e.kind, e.prefix.as_str())).collect();
+    let reported: Vec<_> = events.iter().map(|e| (e.kind, e.prefix.as_str())).collect();
     let expected = [
         (CacheEventKind::Evicted, "b"),
         (CacheEventKind::Stored, "c"),
     ];
-    assert_eq!(told, expected);
+    assert_eq!(reported, expected);
 }
 
 #[tokio::test(start_paused = true)]
-async fn cache_events_come_late_and_with_gaps() {
+async fn cache_events_are_delayed_and_have_gaps() {
     let clock = HeldClock::hold();
     let settings = EngineSettings {
         cache_event_lag_ms: 60_000,
         cache_event_gap_every: 2,
-        ..prompt_settings()
+        ..zero_latency_settings()
     };
     let fixture = Fixture::start(settings).await;
     for prefix in ["a", "b", "c"] {
@@ -340,7 +341,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_load_report_lags() {
+async fn the_load_report_is_delayed() {
     let clock = HeldClock::hold();
     let settings = EngineSettings {
         load_lag_ms: 60_000,
@@ -364,8 +365,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_dropped_answer_cancels_its_sequence() {
-    // A caller goes away while its answer is generated.
-    // The engine must not keep the slot for an answer that nobody reads.
+    // A caller disconnects while its answer is generated. The engine must free the slot.
     let _clock = HeldClock::hold();
     let fixture = Fixture::start(endless_settings()).await;
     let url = fixture.engine.url("/run/generation");
@@ -383,9 +383,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_caller_who_gives_up_loses_its_place() {
-    // A caller goes away while its call waits for a slot.
-    // The call must not start later, when nobody wants its answer any more.
+async fn a_waiting_call_whose_caller_disconnects_never_starts() {
+    // A caller disconnects while its call waits for a slot. The call must not start later, as no
+    // one reads its answer.
     let _clock = HeldClock::hold();
     let fixture = Fixture::start(endless_settings()).await;
     let running = fixture.spawn_run(generation("first", 1));
@@ -406,7 +406,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_cancelled_call_that_waits_never_starts() {
+async fn a_cancelled_waiting_call_never_starts() {
     let _clock = HeldClock::hold();
     let fixture = Fixture::start(endless_settings()).await;
     let running = fixture.spawn_run(generation("first", 1));
@@ -425,7 +425,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_cancelled_stream_breaks_off() {
+async fn a_cancelled_stream_ends_with_an_error() {
     let clock = HeldClock::hold();
     let fixture = Fixture::start(endless_settings()).await;
     let url = fixture.engine.url("/run/");
@@ -443,14 +443,14 @@
 
 #[tokio::test]
 async fn a_broken_stream_ends_after_half_of_its_tokens() {
-    // A driver at the gate waits for an answer, and it breaks off in the middle.
-    // What arrived is a true beginning of the answer, without an end line.
-    let fixture = Fixture::start(prompt_settings()).await;
+    // A connection ends in the middle of a streamed answer. The part that arrived must be a prefix
+    // of the full answer, without an end line.
+    let fixture = Fixture::start(zero_latency_settings()).await;
     let faults = BackendFaults {
         break_mid_stream: Some(1),
         ..BackendFaults::default()
     };
-    fixture.switch(faults).await;
+    fixture.set_faults(faults).await;
 
     let broken = fixture.run(generation("c1", 6)).await;
     let whole = fixture.run(generation("c1", 6)).await.unwrap();
@@ -462,13 +462,13 @@
 }
 
 #[tokio::test]
-async fn a_failed_call_was_started() {
-    let fixture = Fixture::start(prompt_settings()).await;
+async fn a_failed_call_is_recorded_as_started_and_unfinished() {
+    let fixture = Fixture::start(zero_latency_settings()).await;
     let faults = BackendFaults {
         fail_next: Some(1),
         ..BackendFaults::default()
     };
-    fixture.switch(faults).await;
+    fixture.set_faults(faults).await;
 
     let failed = fixture.run(generation("c1", 1)).await.unwrap();
     let next = fixture.run(generation("c2", 1)).await.unwrap();
@@ -481,35 +481,35 @@
 }
 
 #[tokio::test]
-async fn a_frozen_engine_makes_no_progress_until_it_thaws() {
-    let fixture = Fixture::start(prompt_settings()).await;
+async fn a_frozen_engine_makes_no_progress_until_unfrozen() {
+    let fixture = Fixture::start(zero_latency_settings()).await;
     let frozen = |frozen| BackendFaults {
         frozen: Some(frozen),
         ..BackendFaults::default()
     };
-    fixture.switch(frozen(true)).await;
+    fixture.set_faults(frozen(true)).await;
 
     let call = fixture.spawn_run(generation("c1", 1));
     settle(async || fixture.executions().await).await;
     let while_frozen = fixture.executions().await;
-    fixture.switch(frozen(false)).await;
+    fixture.set_faults(frozen(false)).await;
 
     assert_eq!(while_frozen, []);
     assert_eq!(lines(&joined(call).await.unwrap()).len(), 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_slow_engine_takes_so_many_times_as_long() {
+async fn the_slow_factor_multiplies_the_processing_time() {
     let settings = EngineSettings {
         token_ms: 100,
-        ..prompt_settings()
+        ..zero_latency_settings()
     };
     let fixture = Fixture::start(settings).await;
     let faults = BackendFaults {
         slow_factor: Some(20.0),
         ..BackendFaults::default()
     };
-    fixture.switch(faults).await;
+    fixture.set_faults(faults).await;
 
     fixture.run(generation("c1", 4)).await.unwrap();
 
@@ -517,8 +517,8 @@
 }
 
 #[tokio::test]
-async fn a_dead_engine_takes_no_connection() {
-    let mut fixture = Fixture::start(prompt_settings()).await;
+async fn a_dead_engine_accepts_no_connections() {
+    let mut fixture = Fixture::start(zero_latency_settings()).await;
     let faults = BackendFaults {
         die: Some(true),
         ..BackendFaults::default()
@@ -526,7 +526,7 @@
 
     let url = fixture.engine.url("/admin/faults");
     let body = serde_json::to_vec(&faults).unwrap();
-    // Its last answer may or may not make it out.
+    // The answer may or may not be sent before the engine ends.
     let _ = fixture.client.post(url, &[], body).await;
     fixture.engine.ended().await;
 
@@ -536,9 +536,9 @@
 
 #[tokio::test]
 async fn an_order_with_an_old_fencing_number_is_refused() {
-    // A planner is paused while it holds the lease, and another takes over.
-    // The first wakes up and gives an order under its old fencing number.
-    let fixture = Fixture::start(prompt_settings()).await;
+    // A planner is paused while it holds the lease, and another takes over. The first resumes and
+    // sends an order with its old fencing number.
+    let fixture = Fixture::start(zero_latency_settings()).await;
     let model = serde_json::from_value(json!("assay")).unwrap();
     fixture.order(2, EngineOrder::LoadModel(model)).await;
 
@@ -558,7 +558,7 @@
 async fn an_engine_that_ignores_fencing_numbers_applies_old_orders() {
     let settings = EngineSettings {
         honours_fence: false,
-        ..prompt_settings()
+        ..zero_latency_settings()
     };
     let fixture = Fixture::start(settings).await;
     let decode = EngineOrder::SetRole(EngineRole::Decode);
--- a/crates/standins/tests/standin_platform.rs
+++ b/crates/standins/tests/standin_platform.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    async fn switch(&self, faults: PlatformFaults) {
+    async fn set_faults(&self, faults: PlatformFaults) {
         switch(&self.client, self.platform.url("/admin/faults"), &faults).await;
     }
 
@@ -135,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn rows_come_in_key_order_by_prefix_and_page() {
+async fn rows_are_listed_in_key_order_by_prefix_and_page() {
     let fixture = Fixture::start(PlatformSettings::default()).await;
     for key in ["b/1", "a/3", "a/1", "a/2"] {
         fixture.write(key, 0, "x").await.unwrap();
@@ -162,16 +162,16 @@
 }
 
 #[tokio::test]
-async fn an_outage_refuses_calls_but_not_the_switches() {
+async fn an_outage_refuses_calls_but_not_admin_requests() {
     let fixture = Fixture::start(PlatformSettings::default()).await;
     let outage = |outage| PlatformFaults {
         outage: Some(outage),
         ..PlatformFaults::default()
     };
 
-    fixture.switch(outage(true)).await;
+    fixture.set_faults(outage(true)).await;
     let during = fixture.read_status().await;
-    fixture.switch(outage(false)).await;
+    fixture.set_faults(outage(false)).await;
 
     assert_eq!(during, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(fixture.read_status().await, StatusCode::OK);
@@ -179,21 +179,20 @@
 
 #[tokio::test]
 async fn a_silent_platform_never_answers_a_call() {
-    // A caller writes a row and waits, but no answer comes, and none will.
-    // The platform has accepted the connection and then lost interest in it.
-    // The write has no effect, and calls made after the silence are answered.
+    // The platform accepts a connection and never answers the write sent over it. The write has no
+    // effect, and calls made after the fault is cleared are answered.
     let fixture = Fixture::start(PlatformSettings::default()).await;
     let silent = |silent| PlatformFaults {
         silent: Some(silent),
         ..PlatformFaults::default()
     };
-    fixture.switch(silent(true)).await;
+    fixture.set_faults(silent(true)).await;
 
     let body = serde_json::to_vec(&write("k", 0, "x")).unwrap();
     let url = fixture.platform.url("/table/transaction");
     let call = tokio::spawn(async move { HttpClient::new().post(url, &[], body).await });
     settle(async || fixture.counts().await).await;
-    fixture.switch(silent(false)).await;
+    fixture.set_faults(silent(false)).await;
     settle(async || fixture.counts().await).await;
 
     assert!(!call.is_finished());
@@ -218,15 +217,15 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_leaves_the_effect() {
-    // A process writes a claim, and the connection closes without an answer.
-    // The write took effect all the same: reading the row back shows it.
+async fn a_write_takes_effect_although_its_answer_is_lost() {
+    // A process writes a claim, and the connection closes without an answer. The write took effect
+    // nevertheless: a read of the row shows it.
     let fixture = Fixture::start(PlatformSettings::default()).await;
     let faults = PlatformFaults {
         lose_answers: Some(1),
         ..PlatformFaults::default()
     };
-    fixture.switch(faults).await;
+    fixture.set_faults(faults).await;
 
     let lost = fixture.write("k", 0, "x").await;
     let answered = fixture.write("k", 1, "y").await.unwrap();
@@ -238,17 +237,16 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_late_effect_comes_after_the_row_was_read_back() {
-    // A process writes a claim, gets no answer, and reads the row back: unchanged.
-    // It takes the write for failed, but later the row changes after all.
-    // The write was still on its way inside the platform.
+async fn a_late_write_takes_effect_after_the_row_was_read_back() {
+    // A process writes a claim, gets no answer, and reads the row unchanged. It takes the write for
+    // failed, but the platform was still processing it, and the row changes later.
     let clock = HeldClock::hold();
     let fixture = Fixture::start(PlatformSettings::default()).await;
-    fixture.switch(late_effects(1)).await;
+    fixture.set_faults(late_effects(1)).await;
 
     let lost = fixture.write("k", 0, "x").await;
     let read_back = fixture.row("k").await.version.get();
-    clock.advance_ms(LATE_MS).await;
+    clock.advance_ms(LATE_EFFECT_MS).await;
 
     assert!(matches!(lost, Err(HttpError::NoAnswer(_))), "{lost:?}");
     assert_eq!(read_back, 0);
@@ -259,16 +257,16 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_late_effect_is_checked_when_it_comes() {
-    // A process writes a claim and gets no answer; it cancels the claim, and the cancel wins.
-    // The first write arrives later, finds its version gone, and changes nothing.
+async fn a_late_write_is_checked_when_it_takes_effect() {
+    // A process writes a claim, gets no answer, and cancels the claim; the cancellation is written
+    // first. The delayed write then fails its version check and changes nothing.
     let clock = HeldClock::hold();
     let fixture = Fixture::start(PlatformSettings::default()).await;
-    fixture.switch(late_effects(1)).await;
+    fixture.set_faults(late_effects(1)).await;
 
     let lost = fixture.write("k", 0, "late").await;
     fixture.write("k", 0, "cancelled").await.unwrap();
-    clock.advance_ms(LATE_MS).await;
+    clock.advance_ms(LATE_EFFECT_MS).await;
 
     assert!(lost.is_err());
     eventually("the late conflict", async || {
@@ -278,12 +276,12 @@
     assert_eq!(fixture.row("k").await.value, "cancelled");
 }
 
-/// Delay of late effects in these tests.
-const LATE_MS: u64 = 3_600_000;
+/// Delay after which late writes take effect.
+const LATE_EFFECT_MS: u64 = 3_600_000;
 
 fn late_effects(count: u32) -> PlatformFaults {
     PlatformFaults {
-        late_effect_ms: Some(LATE_MS),
+        late_effect_ms: Some(LATE_EFFECT_MS),
         late_effects: Some(count),
         ..PlatformFaults::default()
     }
@@ -319,9 +317,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_host_list_lags() {
-    // A host is about to leave, but for a while the list still shows it as live.
-    // Whoever relies on the list alone sends it new work meanwhile.
+async fn host_list_changes_become_visible_after_the_lag() {
+    // A host is leaving, but the list still shows it as live for a while. Processes that rely on
+    // the list alone send it new work until then.
     let clock = HeldClock::hold();
     let settings = PlatformSettings {
         host_list_lag_ms: 5_000,
@@ -377,10 +375,10 @@
     }
 }
 
-/// A thousand processes look at the host list every second or so. If each look carried a list that
-/// the process has already, the list alone would take more than a node may spend on control.
+/// A thousand processes poll the host list about once a second. If each answer carried a list that
+/// the process already has, the list alone would exceed a host's limit for control traffic.
 #[tokio::test]
-async fn a_host_list_that_the_reader_has_is_not_sent_again() {
+async fn an_unchanged_host_list_is_not_sent_again() {
     // Arrange
     let fixture = Fixture::start(PlatformSettings::default()).await;
     fixture.admin("/admin/hosts/put", &host("h1")).await;
--- a/crates/standins/tests/standin_processes.rs
+++ b/crates/standins/tests/standin_processes.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as programs of their own, and the signals that tests send them.
+//! The stand-ins as separate processes, and the signals that tests send them.
 
 #![expect(clippy::unwrap_used, reason = "a fixture that fails ends its test")]
 
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test]
-async fn the_platform_serves_and_ends_on_sigterm() {
+async fn the_platform_serves_requests_and_exits_on_sigterm() {
     let mut platform = start(PLATFORM);
 
     let url = platform.url("/table/row?key=a%2Fb");
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test]
-async fn an_engine_told_to_die_exits_with_code_9() {
+async fn an_engine_with_the_die_fault_exits_with_code_9() {
     let mut engine = start(ENGINE);
 
     let body = json!({"die": true}).to_string();
@@ -44,10 +44,10 @@
 }
 
 #[tokio::test]
-async fn a_paused_service_answers_once_it_goes_on() {
+async fn a_paused_service_answers_once_it_resumes() {
     let mut service = start(SERVICE);
     let url = service.url("/settle");
-    // Answers as long as the service itself does, so settling means something.
+    // Round trips to a running program give the paused service time in which it could answer.
     let platform = start(PLATFORM);
     let client = HttpClient::new();
     service.pause().unwrap();
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test]
-async fn a_killed_service_is_gone() {
+async fn a_killed_service_no_longer_answers() {
     let mut service = start(SERVICE);
     let url = service.url("/executions");
 
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test]
-async fn a_relay_tells_both_its_addresses() {
+async fn a_relay_prints_its_listen_and_admin_addresses() {
     let service = start(SERVICE);
     let to = service.address().to_string();
     let relay = ChildProcess::start(RELAY, ["--to", to.as_str()]).unwrap();
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_program_that_never_listens_is_an_error() {
+fn starting_a_program_that_never_listens_fails() {
     let started = ChildProcess::start(PLATFORM, ["--help"]);
 
     let error = started.unwrap_err().to_string();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_missing_program_tells_how_to_build_it() {
+fn the_error_for_a_missing_program_names_the_build_command() {
     let found = sibling_program("standin-platform");
     let missing = sibling_program("no-such-program");
 
--- a/crates/standins/tests/standin_relay.rs
+++ b/crates/standins/tests/standin_relay.rs
@@ -1,4 +1,4 @@
-//! The relay, and each of its faults.
+//! The relay stand-in, and each of its faults.
 
 #![expect(clippy::unwrap_used, reason = "a fixture that fails ends its test")]
 
@@ -16,10 +16,10 @@
 struct Fixture {
     service: Running,
     relay: RunningRelay,
-    /// Its connection goes through the relay and is kept open between calls.
+    /// Connects through the relay and reuses the connection between calls.
     through_relay: HttpClient,
-    /// Its connections do not go through the relay.
-    beside_relay: HttpClient,
+    /// Connects without the relay.
+    direct: HttpClient,
 }
 
 impl Fixture {
@@ -34,23 +34,23 @@
             relay: Relay::start(settings).await.unwrap(),
             service,
             through_relay: HttpClient::new(),
-            beside_relay: HttpClient::new(),
+            direct: HttpClient::new(),
         }
     }
 
-    async fn switch(&self, faults: RelayFaults) {
+    async fn set_faults(&self, faults: RelayFaults) {
         let url = self.relay.admin_url("/admin/faults");
-        switch(&self.beside_relay, url, &faults).await;
+        switch(&self.direct, url, &faults).await;
     }
 
     async fn counts(&self) -> RelayCounts {
         let url = self.relay.admin_url("/admin/counts");
-        self.beside_relay.get_json(url).await.unwrap()
+        self.direct.get_json(url).await.unwrap()
     }
 
     async fn executions(&self) -> Vec<ServiceExecution> {
         let url = self.service.url("/executions");
-        self.beside_relay.get_json(url).await.unwrap()
+        self.direct.get_json(url).await.unwrap()
     }
 
     async fn call(&self, client: &HttpClient, call_id: &str) -> Result<HttpReply, HttpError> {
@@ -73,16 +73,16 @@
 
 #[tokio::test]
 async fn a_silenced_connection_stays_open_while_new_ones_work() {
-    // A process sends a call over a connection that has worked before; no answer comes, no error.
-    // Calls over new connections to the same server are answered.
-    // Something between the two ends has lost track of the old connection.
+    // Simulates a device between the two ends that has lost the state of an open connection: a
+    // call over a connection that worked before gets neither an answer nor an error, while calls
+    // over new connections to the same server are answered.
     let fixture = Fixture::start().await;
     fixture.call(&fixture.through_relay, "c1").await.unwrap();
     let faults = RelayFaults {
         silence_open: Some(true),
         ..RelayFaults::default()
     };
-    fixture.switch(faults).await;
+    fixture.set_faults(faults).await;
 
     let url = fixture.relay.url("/settle");
     let client = fixture.through_relay.clone();
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test]
-async fn a_cut_ends_open_connections_also_silent_ones() {
+async fn a_cut_closes_open_connections_including_silenced_ones() {
     let fixture = Fixture::start().await;
     fixture.call(&fixture.through_relay, "c1").await.unwrap();
     let silence = RelayFaults {
@@ -111,13 +111,13 @@
         cut_open: Some(true),
         ..RelayFaults::default()
     };
-    fixture.switch(silence).await;
+    fixture.set_faults(silence).await;
     let url = fixture.relay.url("/settle");
     let client = fixture.through_relay.clone();
     let silent = tokio::spawn(async move { client.post(url, &call_headers("c2"), "{}").await });
     settle(async || fixture.counts().await).await;
 
-    fixture.switch(cut).await;
+    fixture.set_faults(cut).await;
 
     let ended = joined(silent).await;
     assert!(matches!(ended, Err(HttpError::NoAnswer(_))), "{ended:?}");
@@ -126,13 +126,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_delay_applies_each_way() {
+async fn a_delay_applies_in_each_direction() {
     let fixture = Fixture::start().await;
     let faults = RelayFaults {
         delay_ms: Some(30_000),
         ..RelayFaults::default()
     };
-    fixture.switch(faults).await;
+    fixture.set_faults(faults).await;
     let started = Instant::now();
 
     fixture.call(&fixture.through_relay, "c1").await.unwrap();
@@ -141,23 +141,23 @@
 }
 
 #[tokio::test]
-async fn refused_connections_reach_nobody() {
+async fn refused_connections_do_not_reach_the_service() {
     let fixture = Fixture::start().await;
     let refuse = |refuse| RelayFaults {
         refuse_new: Some(refuse),
         ..RelayFaults::default()
     };
-    fixture.switch(refuse(true)).await;
+    fixture.set_faults(refuse(true)).await;
 
     let refused = fixture.call(&fixture.through_relay, "c1").await;
-    fixture.switch(refuse(false)).await;
-    let taken = fixture.call(&fixture.through_relay, "c2").await.unwrap();
+    fixture.set_faults(refuse(false)).await;
+    let accepted = fixture.call(&fixture.through_relay, "c2").await.unwrap();
 
     assert!(
         matches!(refused, Err(HttpError::NoAnswer(_))),
         "{refused:?}"
     );
-    assert_eq!(taken.status, StatusCode::OK);
+    assert_eq!(accepted.status, StatusCode::OK);
     assert_eq!(fixture.counts().await.refused, 1);
     assert_eq!(fixture.executions().await.len(), 1);
 }
--- a/crates/standins/tests/standin_service.rs
+++ b/crates/standins/tests/standin_service.rs
@@ -1,4 +1,4 @@
-//! The stand-in of a plain service, and each of its faults.
+//! The service stand-in, and each of its faults.
 
 #![expect(clippy::unwrap_used, reason = "a fixture that fails ends its test")]
 
@@ -30,7 +30,7 @@
         }
     }
 
-    async fn switch(&self, faults: BackendFaults) {
+    async fn set_faults(&self, faults: BackendFaults) {
         switch(&self.client, self.service.url("/admin/faults"), &faults).await;
     }
 
@@ -39,7 +39,7 @@
         self.client.post(url, &call_headers(call_id), "{}").await
     }
 
-    /// Calls in the background, over a connection of its own.
+    /// Sends a call in the background, over a separate connection.
     fn spawn_call(&self, call_id: &'static str) -> JoinHandle<Result<HttpReply, HttpError>> {
         let url = self.service.url("/settle/grower");
         tokio::spawn(async move {
@@ -83,14 +83,14 @@
 
 #[tokio::test]
 async fn a_held_call_runs_at_once_but_is_answered_on_release() {
-    // A settlement runs, but its answer does not come until much later.
-    // Whoever takes the long wait for a call that did not run pays twice.
+    // A settlement runs, but its answer arrives much later. A caller that takes the delay for a
+    // call that did not run would pay twice.
     let fixture = Fixture::start().await;
     let hold = |hold| BackendFaults {
         hold: Some(hold),
         ..BackendFaults::default()
     };
-    fixture.switch(hold(true)).await;
+    fixture.set_faults(hold(true)).await;
 
     let call = fixture.spawn_call("c1");
     eventually("the execution", async || {
@@ -99,38 +99,38 @@
     .await;
     settle(async || fixture.executions().await).await;
     let answered_while_held = call.is_finished();
-    fixture.switch(hold(false)).await;
+    fixture.set_faults(hold(false)).await;
 
     assert!(!answered_while_held);
     assert_eq!(joined(call).await.unwrap().status, StatusCode::OK);
 }
 
 #[tokio::test]
-async fn a_frozen_service_starts_nothing_until_it_thaws() {
+async fn a_frozen_service_starts_no_call_until_unfrozen() {
     let fixture = Fixture::start().await;
     let frozen = |frozen| BackendFaults {
         frozen: Some(frozen),
         ..BackendFaults::default()
     };
-    fixture.switch(frozen(true)).await;
+    fixture.set_faults(frozen(true)).await;
 
     let call = fixture.spawn_call("c1");
     settle(async || fixture.executions().await).await;
     let while_frozen = fixture.executions().await;
-    fixture.switch(frozen(false)).await;
+    fixture.set_faults(frozen(false)).await;
 
     assert_eq!(while_frozen, []);
     assert_eq!(joined(call).await.unwrap().status, StatusCode::OK);
 }
 
 #[tokio::test]
-async fn a_failed_call_has_run() {
+async fn a_failed_call_is_recorded_as_an_execution() {
     let fixture = Fixture::start().await;
     let faults = BackendFaults {
         fail_next: Some(1),
         ..BackendFaults::default()
     };
-    fixture.switch(faults).await;
+    fixture.set_faults(faults).await;
 
     let failed = fixture.call("c1").await.unwrap();
     let next = fixture.call("c2").await.unwrap();
@@ -141,15 +141,15 @@
 }
 
 #[tokio::test]
-async fn a_broken_answer_shows_as_broken() {
-    // A clerk's call is answered, but the connection closes after half of the answer.
-    // The call has run; the half must not pass for the whole.
+async fn an_incomplete_answer_is_reported_as_broken_off() {
+    // The connection closes after half of the answer. The call has run, and the half must not be
+    // taken for the whole answer.
     let fixture = Fixture::start().await;
     let faults = BackendFaults {
         break_mid_stream: Some(1),
         ..BackendFaults::default()
     };
-    fixture.switch(faults).await;
+    fixture.set_faults(faults).await;
 
     let broken = fixture.call("c1").await;
 
@@ -161,7 +161,7 @@
 }
 
 #[tokio::test]
-async fn a_dead_service_takes_no_connection() {
+async fn a_dead_service_accepts_no_connections() {
     let mut fixture = Fixture::start().await;
     let faults = BackendFaults {
         die: Some(true),
@@ -170,7 +170,7 @@
 
     let url = fixture.service.url("/admin/faults");
     let body = serde_json::to_vec(&faults).unwrap();
-    // Its last answer may or may not make it out.
+    // The answer may or may not be sent before the service ends.
     let _ = fixture.client.post(url, &[], body).await;
     fixture.service.ended().await;
 
