--- a/crates/amaranthscale/src/gateway/process/publish_limits.rs
+++ b/crates/amaranthscale/src/gateway/process/publish_limits.rs
@@ -12,7 +12,7 @@
 use super::GatewayContext;
 
 /// Time per gateway over which writes are spread: all gateways that send to a server receive its
-/// report at once, and the first write makes the others' unnecessary.
+/// report at the same time, and the first write makes the others' unnecessary.
 const SPREAD_PER_GATEWAY: Duration = Duration::from_millis(4);
 /// Minimum pause between two rounds, as limits may change with each answer.
 const ROUND_PAUSE: Duration = Duration::from_millis(500);
--- a/crates/amaranthscale/src/gateway/process/single_run.rs
+++ b/crates/amaranthscale/src/gateway/process/single_run.rs
@@ -11,15 +11,15 @@
 use super::super::version::{write_store_if, write_store_with_retry};
 use super::CrashTracker;
 
-/// Time for which the claim of a lost run stays; by then evidence of a crash is published.
+/// Time for which a claim is retained after a lost run; by then evidence of a crash is published.
 const CLAIM_RETENTION_AFTER_LOSS: Duration = Duration::from_secs(2);
 /// Pause after a failed removal.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
 /// A run claimed in the store; the claim is removed some time after this is dropped.
 ///
-/// Until then it counts as a crash at the other gateways. If this gateway fails during the run, no
-/// other gateway would learn of a crash, and the request would be sent to more servers.
+/// Until then it counts as a crash at the other gateways. Without it, if this gateway failed during
+/// the run, no other gateway would learn of a crash, and the request would be sent to more servers.
 #[derive(Debug)]
 pub(crate) struct SingleRun {
     id: EvidenceId,
