--- a/crates/standins/examples/evacuation.rs
+++ b/crates/standins/examples/evacuation.rs
@@ -1,9 +1,9 @@
 //! Evacuates an availability zone under load, and takes it back.
 //!
-//! Stand-ins, sidecars and one entry run as tasks on loopback ports. A caller makes settlements all the
-//! while; an operator evacuates the entry's own one of two zones after two seconds and takes it back after
-//! five. A line a second shows where settlements ran. The program exits with 0 only if all were
-//! complete and none ran in the zone while it was evacuated.
+//! Stand-ins, sidecars and one entry run as tasks on loopback ports. A caller makes settlements
+//! continuously. There are two zones; an operator evacuates the entry's zone after two seconds and
+//! takes it back after five. A line per second shows where settlements ran. The program exits with
+//! 0 only if all settlements completed and none ran in the zone while it was evacuated.
 
 use std::error::Error;
 use std::process::ExitCode;
@@ -17,11 +17,11 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-/// Settings tree of Delta Basin, as its operators would import it.
+/// Settings tree of Delta Basin, which its operators would import.
 const TREE: &str = include_str!("../../../examples/delta-basin/tree.json");
 /// Zones; the entry is in the first, which is evacuated.
 const ZONES: [&str; 2] = ["north-yard", "south-yard"];
-/// Seconds that the load lasts.
+/// Duration of the load in seconds.
 const SECONDS: u64 = 8;
 /// Second in which the zone is evacuated, and the one in which it is taken back.
 const EVACUATED_FROM: u64 = 2;
@@ -82,7 +82,7 @@
     Ok(is_right)
 }
 
-/// Settlements that were asked for within a second, and those that were complete.
+/// Makes settlements for a second; returns the number of requests and of complete answers.
 async fn settle_for_a_second(caller: &Caller, entry: &str, second: u64) -> (u64, u64) {
     let path = "/v1/services/grower-ledger/settlements";
     let until = Instant::now() + Duration::from_secs(1);
@@ -97,7 +97,7 @@
     (asked, complete)
 }
 
-/// Settlements that each backend server has run, in order of the zones.
+/// Number of settlements that each backend server has run, in order of the zones.
 async fn executions(deployment: &Deployment) -> Result<Vec<usize>, Box<dyn Error>> {
     let mut counts = Vec::new();
     for backend in deployment.backends() {
--- a/crates/standins/examples/quickstart.rs
+++ b/crates/standins/examples/quickstart.rs
@@ -2,7 +2,7 @@
 //!
 //! Stand-ins, sidecars and one entry run as tasks on loopback ports. Paid and trial organisations
 //! of Delta Basin Sugar Cooperative ask for beet intake assessments and grower settlements. The
-//! program exits with 0 only if every request got exactly one correct answer.
+//! program exits with 0 only if every request received exactly one correct answer.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -17,11 +17,11 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use tokio::task::JoinSet;
 
-/// Settings tree of Delta Basin, as its operators would import it.
+/// Settings tree of Delta Basin, which its operators would import.
 const TREE: &str = include_str!("../../../examples/delta-basin/tree.json");
 /// Requests of each caller.
 const REQUESTS_EACH: u32 = 60;
-/// Requests that each caller keeps open.
+/// Concurrent requests of each caller.
 const OPEN_EACH: u32 = 6;
 
 #[tokio::main]
@@ -153,7 +153,7 @@
     Ok(())
 }
 
-/// Settlements whose key ran more than once, by the ledgers' own records.
+/// Number of settlements that ran more than once, from the ledgers' own records.
 async fn doubled_settlements(deployment: &Deployment) -> Result<usize, Box<dyn Error>> {
     let mut runs: BTreeMap<String, u32> = BTreeMap::new();
     for backend in deployment.backends() {
--- a/crates/standins/src/policy.rs
+++ b/crates/standins/src/policy.rs
@@ -1,17 +1,16 @@
-//! A bench for the policy under load and faults.
+//! Simulation of the policy under load and faults.
 //!
-//! It drives the very same decisions that entry and sidecar are built on, with a small fake in
-//! the place of the backend server: slots and a distribution of service times. There is no model
-//! of hosts or of a network beyond one fixed delay per message. Arrivals are open loop, the clock
-//! is virtual, and everything random comes from one seed.
+//! It runs the same decision code as entries and sidecars, with a small fake in place of the
+//! backend server: slots and a distribution of service times. There is no model of hosts or of a
+//! network except one fixed delay per message. Arrivals are open loop, the clock is virtual, and
+//! all random numbers come from one seed.
 
-mod agenda;
 mod attempt;
-mod bench;
 mod command;
 mod deployment;
 mod entry;
 mod event;
+mod event_queue;
 mod fake_server;
 mod fault;
 mod figures;
@@ -25,11 +24,10 @@
 mod scenario;
 mod schedule;
 mod service_spec;
+mod simulation;
 mod summary;
 mod tally;
 
-#[doc(inline)]
-pub use bench::Bench;
 #[doc(inline)]
 pub use command::{command, run};
 #[doc(inline)]
@@ -43,4 +41,6 @@
 #[doc(inline)]
 pub use scenario::{InvalidScenario, Scenario};
 #[doc(inline)]
+pub use simulation::Simulation;
+#[doc(inline)]
 pub use summary::{Spread, Summary};
--- a/crates/standins/src/policy/command.rs
+++ b/crates/standins/src/policy/command.rs
@@ -8,9 +8,9 @@
 
 use super::report::Report;
 use super::summary::Summary;
-use super::{Bench, Deployment, Figures, Mechanism, Mechanisms, Scenario, plot};
+use super::{Deployment, Figures, Mechanism, Mechanisms, Scenario, Simulation, plot};
 
-/// Runs at once when nothing else is asked for.
+/// Default number of concurrent runs.
 const DEFAULT_JOBS: &str = "4";
 
 /// Describes the subcommand.
@@ -160,7 +160,7 @@
     variants
 }
 
-/// Runs all tasks on a few threads; each run is its own world, so their order does not matter.
+/// Runs all tasks on several threads; runs share no state, so their order does not matter.
 fn run_all(
     deployment: &Deployment,
     scenario: Scenario,
@@ -176,7 +176,7 @@
                 break;
             };
             let mechanisms = (*mechanisms).clone();
-            let figures = Bench::new(deployment.clone(), scenario, mechanisms, *seed).run();
+            let figures = Simulation::new(deployment.clone(), scenario, mechanisms, *seed).run();
             if let Ok(mut done) = done.lock() {
                 done[position] = figures;
             }
--- a/crates/standins/src/policy/deployment.rs
+++ b/crates/standins/src/policy/deployment.rs
@@ -1,8 +1,8 @@
-//! The two deployments, at the sizes of the brief.
+//! The two simulated deployments, at their specified sizes.
 //!
-//! Names and numbers of servers are the brief's. Which service does which stage, slots, times
-//! and rates are assumptions of this bench: generation is at 60% of its capacity, paid and trial
-//! work at 40% and 20%, and each other stage at 35% to 49%.
+//! Names and numbers of servers are specified. The service of each stage, slots, times and rates
+//! are assumptions of the simulation: generation is at 60% of its capacity, 40% by paid and 20% by
+//! trial work, and each other stage at 35% to 49%.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,29 +14,29 @@
 use super::pipeline_spec::PipelineSpec;
 use super::service_spec::ServiceSpec;
 
-/// Times and slots of the stages before generation, for both deployments.
+/// Slots and median times of the stages before generation, in both deployments.
 const ENCODE: (u32, f64) = (2, 60.0);
 const RETRIEVE: (u32, f64) = (2, 80.0);
 const RERANK: (u32, f64) = (2, 70.0);
-/// A plain service that settles or notifies.
+/// Slots and median time of a plain service for settlements or notifications.
 const PLAIN: (u32, f64) = (2, 50.0);
-/// Spread of times of plain stages and of engines.
+/// Spread (sigma) of the times of plain stages and of engines.
 const PLAIN_SIGMA: f64 = 0.3;
 const ENGINE_SIGMA: f64 = 0.4;
-/// Sequences that an engine batches at once.
+/// Sequences in an engine's batch.
 const ENGINE_SLOTS: u32 = 8;
-/// Position of the pipeline that may be repeated.
+/// Index of the repeatable pipeline.
 pub(super) const ANSWER: usize = 0;
-/// Position of the call that may not.
+/// Index of the call that must not be repeated.
 pub(super) const SETTLE: usize = 1;
-/// Position of the reranking stage's service.
+/// Index of the reranking stage's service.
 pub(super) const RERANK_SERVICE: usize = 2;
-/// Stages of the repeatable pipeline.
+/// Number of stages of the repeatable pipeline.
 pub(super) const STAGES: usize = 4;
 /// Limit of an organisation, as a multiple of its usual rate.
 const LIMIT_FACTOR: f64 = 1.5;
 
-/// One deployment of the brief.
+/// A simulated deployment.
 #[derive(Debug, Clone)]
 pub struct Deployment {
     /// Name for the command line.
@@ -45,18 +45,18 @@
     pub region: &'static str,
     /// Its availability zones.
     pub zones: Vec<&'static str>,
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub entries: usize,
     /// Its services; the first four are the stages of a request.
     pub services: Vec<ServiceSpec>,
-    /// Its pipelines: one that may be repeated, one call that may not.
+    /// Its pipelines: a repeatable one, and a call that must not be repeated.
     pub pipelines: Vec<PipelineSpec>,
     /// Its organisations.
     pub organisations: Vec<OrganisationSpec>,
 }
 
 impl Deployment {
-    /// Beet intake routing.
+    /// The deployment for beet intake routing.
     #[must_use]
     pub fn delta_basin() -> Self {
         Self {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The registry router fleet.
+    /// The deployment of the registry router fleet.
     #[must_use]
     pub fn cedarline() -> Self {
         Self {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The same deployment at a multiple of its usual demand; limits stay.
+    /// The same deployment with its usual demand multiplied by a factor; limits are unchanged.
     #[must_use]
     pub fn with_load(mut self, factor: f64) -> Self {
         for spec in &mut self.organisations {
@@ -164,7 +164,7 @@
     ]
 }
 
-/// Five organisations, a few of them large.
+/// Five organisations of different sizes.
 fn organisations(paid_per_s: f64, trial_per_s: f64) -> Vec<OrganisationSpec> {
     vec![
         organisation("paid-large", Class::Paid, 4, paid_per_s * 0.5),
--- a/crates/standins/src/policy/entry.rs
+++ b/crates/standins/src/policy/entry.rs
@@ -1,4 +1,4 @@
-//! The decisions of one entry.
+//! Decision state of one entry.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 
 /// Retries per hundred first tries.
 const RETRY_PERCENT: u32 = 10;
-/// Hedges per hundred first tries; 5 cost two points of waste for a tenth of a point.
+/// Hedges per hundred first tries; 5 cost two points of waste for a gain of a tenth of a point.
 const HEDGE_PERCENT: u32 = 1;
-/// Percentile of a service's times after which an attempt is hedged; 95 hedges usual work.
+/// Percentile of a service's times after which an attempt is hedged; 95 would hedge normal work.
 const HEDGE_PERCENTILE: u8 = 99;
 
-/// All that an entry decides by.
+/// Decision state of one entry.
 #[derive(Debug)]
 pub(super) struct Entry {
     pub(super) router: Router,
@@ -50,7 +50,7 @@
         self.hedge_policies[service].1.delay()
     }
 
-    /// Takes in how long a stage took at a service.
+    /// Records the duration of a stage at a service.
     pub(super) fn record(&mut self, service: usize, elapsed: Duration) {
         self.hedge_policies[service].1.record(elapsed);
     }
@@ -61,7 +61,7 @@
     let settings = RouterSettings::new(zone)
         .with_two_choices(has_two_choices)
         .with_ejection(mechanisms.has(Mechanism::Ejection));
-    // Random routing knows no load, so it cannot tell when to spill either.
+    // Random routing ignores load, so it cannot decide when to spill either.
     if has_two_choices {
         settings
     } else {
--- a/crates/standins/src/policy/event.rs
+++ b/crates/standins/src/policy/event.rs
@@ -1,4 +1,4 @@
-//! What happens in a run.
+//! Events of a simulation run.
 
 use amaranthscale_core::process::AttemptEnd;
 use amaranthscale_core::wire::Stamp;
@@ -13,18 +13,18 @@
         organisation: usize,
         pipeline: usize,
     },
-    /// A caller asks, or asks again.
-    Ask { request: usize },
-    /// The caller of a failed request asks the same anew.
-    AskAnew { request: usize },
+    /// A caller sends a request, or retries it.
+    Try { request: usize },
+    /// The caller of a failed request sends it again as a new request.
+    Repeat { request: usize },
     /// A request's deadline passes.
-    Deadline { request: usize, ask: u32 },
+    Deadline { request: usize, try_number: u32 },
     /// An attempt reaches its sidecar.
     Dispatched { attempt: usize },
     /// A revocation reaches the sidecar.
     Revoked { attempt: usize },
-    /// The backend server is done with an attempt.
-    Served { attempt: usize, life: u32 },
+    /// The backend server has completed an attempt.
+    Served { attempt: usize, incarnation: u32 },
     /// An answer reaches the entry.
     Reply {
         attempt: usize,
@@ -35,10 +35,10 @@
     Reset { attempt: usize },
     /// Time to send a hedge beside an attempt.
     Hedge { attempt: usize },
-    /// Time to look whether an attempt's connection still answers.
+    /// Time to check whether an attempt's connection still answers.
     KeepAlive { attempt: usize },
     /// A fault begins or ends.
     Fault(Fault),
-    /// A sidecar looks for expired work.
+    /// Sidecars remove expired work.
     Sweep,
 }
--- a/crates/standins/src/policy/fake_server.rs
+++ b/crates/standins/src/policy/fake_server.rs
@@ -1,4 +1,4 @@
-//! A backend server with its sidecar's decisions before it.
+//! A simulated backend server with its sidecar's decisions.
 
 use std::time::Duration;
 
@@ -10,38 +10,39 @@
 use super::service_spec::ServiceSpec;
 use super::{Mechanism, Mechanisms};
 
-/// Attempts that may wait per slot; above it a queue is longer than any deadline.
+/// Queued attempts per slot; with more a queue would be longer than any deadline.
 const QUEUED_PER_SLOT: u32 = 8;
-/// One slot in so many is out of reach for trials.
+/// Slots per slot that is reserved for paid work.
 const SLOTS_PER_RESERVED: u32 = 4;
 
-/// Whether a fake server's process works.
+/// Condition of a simulated server's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Condition {
-    /// It works.
+    /// The process runs.
     Up,
-    /// Its process is gone; the host resets connections.
+    /// The process has ended; the host resets connections.
     Dead,
-    /// Its host is gone; nothing answers.
+    /// The host is gone; connections get no answer.
     Gone,
-    /// It is stopped, and will go on.
+    /// The process is suspended and will resume.
     Frozen,
 }
 
-/// Slots, a distribution of times, and the sidecar's queue.
+/// Slots, distribution of service times, and the sidecar's queue.
 #[derive(Debug)]
 pub(super) struct FakeServer {
     pub(super) record: HostRecord,
     pub(super) service: usize,
     pub(super) condition: Condition,
     pub(super) speed_factor: f64,
-    /// Grows when running work is lost, so that its end is passed over.
-    pub(super) life: u32,
+    /// Increased when running work is lost, so that its completion event is ignored.
+    pub(super) incarnation: u32,
     pub(super) queue: FairQueue,
     pub(super) meter: LoadMeter,
-    /// What arrived or ended while the process was stopped.
-    pub(super) held: Vec<usize>,
-    pub(super) held_ends: Vec<usize>,
+    /// Attempts that arrived while the process was frozen.
+    pub(super) held_arrivals: Vec<usize>,
+    /// Attempts that ended while the process was frozen.
+    pub(super) held_completions: Vec<usize>,
 }
 
 impl FakeServer {
@@ -56,11 +57,11 @@
             service,
             condition: Condition::Up,
             speed_factor: 1.0,
-            life: 0,
+            incarnation: 0,
             queue: FairQueue::new(limits(spec, mechanisms)),
             meter: LoadMeter::default(),
-            held: Vec::new(),
-            held_ends: Vec::new(),
+            held_arrivals: Vec::new(),
+            held_completions: Vec::new(),
         }
     }
 
@@ -72,11 +73,11 @@
         self.record.service.as_ref()
     }
 
-    /// The state that rides on every answer.
+    /// The state stamp of every answer.
     pub(super) fn stamp(&self, now: Duration) -> Stamp {
         Stamp {
             host: self.record.host.clone(),
-            incarnation: Incarnation::new(u64::from(self.life)),
+            incarnation: Incarnation::new(u64::from(self.incarnation)),
             clock: clock(now),
             tree_version: TreeVersion::new(1),
             is_leaving: self.record.state == HostState::Leaving,
@@ -84,16 +85,16 @@
         }
     }
 
-    /// Empties the server when its process or host goes.
-    pub(super) fn lose_everything(&mut self, spec: &ServiceSpec, mechanisms: &Mechanisms) {
-        self.life += 1;
+    /// Drops all work when the server's process or host is lost.
+    pub(super) fn drop_all_work(&mut self, spec: &ServiceSpec, mechanisms: &Mechanisms) {
+        self.incarnation += 1;
         self.queue = FairQueue::new(limits(spec, mechanisms));
-        self.held.clear();
-        self.held_ends.clear();
+        self.held_arrivals.clear();
+        self.held_completions.clear();
     }
 }
 
-/// The sidecar's clock in a run: all sidecars started at its beginning.
+/// The sidecars' clock in a run; all sidecars start with the run.
 pub(super) fn clock(now: Duration) -> SidecarClock {
     SidecarClock::from_millis(0).plus(now)
 }
--- a/crates/standins/src/policy/fault.rs
+++ b/crates/standins/src/policy/fault.rs
@@ -1,26 +1,26 @@
-//! Faults that a scenario switches on and off.
+//! Faults of a scenario.
 
-/// One change to the fakes.
+/// One change of the simulated servers, table or demand.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Fault {
-    /// A server's times change by a factor.
+    /// A server's times are multiplied by a factor.
     Speed { server: usize, factor: f64 },
     /// A process ends; its connections are reset.
     Die { server: usize },
-    /// A host is gone; its connections stay silent.
+    /// A host is lost; its connections get no answer.
     Vanish { server: usize },
-    /// A process stops for a while, its connections open.
+    /// A process is suspended; its connections stay open.
     Freeze { server: usize },
-    /// A stopped process goes on.
+    /// A suspended process resumes.
     Thaw { server: usize },
-    /// A new server of the same service takes the place of one that is gone.
+    /// A new server of the same service replaces a lost one.
     Replace { server: usize },
-    /// The host list shows the servers as they now are.
-    ShowHosts,
-    /// The platform's table goes or comes.
-    Store { is_away: bool },
-    /// Demand of an organisation changes by a factor.
+    /// The host list is updated to the current servers.
+    PublishHosts,
+    /// The platform's table becomes unavailable or available again.
+    Store { is_unavailable: bool },
+    /// An organisation's demand is multiplied by a factor.
     Demand { organisation: usize, factor: f64 },
-    /// Long case files make up a share of the requests.
+    /// Share of the requests with long case files.
     LongFiles { share: f64 },
 }
--- a/crates/standins/src/policy/figures.rs
+++ b/crates/standins/src/policy/figures.rs
@@ -1,4 +1,4 @@
-//! What a run came to.
+//! Results of a run.
 
 use std::collections::BTreeMap;
 
@@ -9,23 +9,23 @@
 pub struct Figures {
     /// Share of paid requests fully answered within their deadline.
     pub paid_attainment: f64,
-    /// The same of trial requests.
+    /// Share of trial requests fully answered within their deadline.
     pub trial_attainment: f64,
-    /// Server time of work that no request answered in time used, as a share of all.
+    /// Share of server time spent on work that was not used by a request answered in time.
     pub wasted_share: f64,
-    /// Share of calls that may not be repeated, answered within their deadline.
+    /// Share of calls that must not be repeated, answered within their deadline.
     pub settle_attainment: f64,
-    /// Share of those calls that were refused and truly not run.
+    /// Share of those calls that were refused without having run.
     pub settle_refused_share: f64,
-    /// Share of those calls whose outcome stayed unknown.
+    /// Share of those calls whose outcome remained unknown.
     pub settle_unknown_share: f64,
-    /// Attainment of the organisation that floods; the paid figure leaves it out.
+    /// Attainment of the flooding organisation, which `paid_attainment` excludes.
     pub flood_attainment: f64,
     /// Retries per request.
     pub retries_per_request: f64,
     /// Paid attainment of the worst second.
     pub worst_second: f64,
-    /// Seconds from the end of the cause until paid attainment stays at its goal.
+    /// Seconds from the end of the cause until paid attainment stays at its goal or above.
     pub recovery_s: f64,
     /// Final answers to paid requests, by number of their result code.
     pub paid_answers: BTreeMap<u16, u64>,
@@ -33,16 +33,16 @@
     pub paid_by_second: Vec<f64>,
 }
 
-/// A figure that tables show.
+/// A column of the result tables.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Column {
-    /// Head of the column, and key in JSON.
+    /// Header of the column, and key in JSON.
     pub(super) name: &'static str,
-    /// Reads it from a run's figures.
+    /// Reads the value from a run's figures.
     pub(super) read: fn(&Figures) -> f64,
 }
 
-/// Every figure but the series.
+/// All figures except the maps and series.
 pub(super) const COLUMNS: [Column; 10] = [
     Column {
         name: "paid_attainment",
--- a/crates/standins/src/policy/mechanism.rs
+++ b/crates/standins/src/policy/mechanism.rs
@@ -1,27 +1,27 @@
-//! One mechanism of the policy, which a run can do without.
+//! A mechanism of the policy that a run can disable.
 
 use std::fmt;
 
-/// A mechanism that can be switched off.
+/// A mechanism that can be disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// The less loaded of two hosts; without: any host.
+    /// Choice of the less loaded of two hosts; without it, of any host.
     TwoChoices,
-    /// Ejection of stragglers and failing hosts.
+    /// Ejection of slow and failing hosts.
     Ejection,
-    /// Refusal on arrival of what cannot be answered in time.
+    /// Refusal on arrival of requests that cannot be answered in time.
     Admission,
-    /// Paid before trial, reserve and fair shares; without: first come, first served.
+    /// Priority of paid over trial, reserve and fair shares; without it, first come, first served.
     Classes,
-    /// Bounded queues that drop what would be late.
+    /// Bounded queues that drop work that would be late.
     Expiry,
-    /// A bound on retries; without: retries at will, also after a plain timeout.
+    /// A limit on retries; without it, unlimited retries, also after a plain timeout.
     RetryBudget,
-    /// A second attempt beside a slow one.
+    /// A second attempt in parallel with a slow one.
     Hedges,
     /// Limits of organisations.
     Limits,
-    /// Cancelling what nobody waits for.
+    /// Cancellation of work whose result is no longer needed.
     Cancel,
 }
 
--- a/crates/standins/src/policy/mechanisms.rs
+++ b/crates/standins/src/policy/mechanisms.rs
@@ -19,19 +19,19 @@
 pub struct Mechanisms(BTreeSet<Mechanism>);
 
 impl Mechanisms {
-    /// Random routing, first come first served, retries at will, no admission.
+    /// Random routing, first come first served, unlimited retries, no admission.
     #[must_use]
     pub const fn baseline() -> Self {
         Self(BTreeSet::new())
     }
 
-    /// Everything that the design has.
+    /// All mechanisms of the design.
     #[must_use]
     pub fn design() -> Self {
         Self(BTreeSet::from(Mechanism::ALL))
     }
 
-    /// The same set but for one mechanism.
+    /// The same set without one mechanism.
     #[must_use]
     pub fn without(mut self, mechanism: Mechanism) -> Self {
         self.0.remove(&mechanism);
--- a/crates/standins/src/policy/organisation_spec.rs
+++ b/crates/standins/src/policy/organisation_spec.rs
@@ -7,13 +7,13 @@
 pub struct OrganisationSpec {
     /// Name of the organisation.
     pub name: &'static str,
-    /// Whether it pays.
+    /// Class of the organisation.
     pub class: Class,
     /// Share within its class.
     pub weight: Weight,
-    /// Requests of the first pipeline.
+    /// Rate of requests to the first pipeline.
     pub rate: RatePerSecond,
-    /// Calls that may not be repeated.
+    /// Rate of calls that must not be repeated.
     pub settle_rate: RatePerSecond,
     /// Limit over all entries.
     pub limit: RatePerSecond,
--- a/crates/standins/src/policy/pipeline_spec.rs
+++ b/crates/standins/src/policy/pipeline_spec.rs
@@ -5,7 +5,7 @@
 /// Stages that share one deadline.
 #[derive(Debug, Clone)]
 pub struct PipelineSpec {
-    /// Services of its stages, by position in the deployment.
+    /// Services of its stages, by index in the deployment.
     pub stages: Vec<usize>,
     /// Time for the whole answer.
     pub deadline: Duration,
--- a/crates/standins/src/policy/plot.rs
+++ b/crates/standins/src/policy/plot.rs
@@ -1,4 +1,4 @@
-//! A picture of paid attainment over time.
+//! Plot of paid attainment over time.
 
 use std::path::Path;
 
@@ -6,13 +6,13 @@
 
 use super::summary::Summary;
 
-/// Size of the picture.
+/// Size of the plot.
 const SIZE_PX: (u32, u32) = (960, 480);
 
 /// Draws paid attainment by second of the first seed, one line for each variant.
 ///
-/// No font is built in, so the picture has no text: the first variant is red, the second blue,
-/// the others grey; the grid stands at each tenth of attainment.
+/// No font is built in, so the plot has no text: the first variant is red, the second blue, the
+/// others grey; there is a grid line at each tenth of attainment.
 pub(super) fn draw(path: &Path, summaries: &[Summary]) -> Result<(), String> {
     let area = BitMapBackend::new(path, SIZE_PX).into_drawing_area();
     area.fill(&WHITE).map_err(|e| e.to_string())?;
--- a/crates/standins/src/policy/report.rs
+++ b/crates/standins/src/policy/report.rs
@@ -1,4 +1,4 @@
-//! Tables and JSON of what runs came to.
+//! Tables and JSON of the results of runs.
 
 use std::fmt::Write as _;
 
@@ -8,7 +8,7 @@
 use super::summary::{Spread, Summary};
 use super::{Deployment, Scenario};
 
-/// Runs of one scenario in all wanted variants.
+/// Results of one scenario in all requested variants.
 #[derive(Debug)]
 pub(super) struct Report {
     pub(super) deployment: Deployment,
--- a/crates/standins/src/policy/scenario.rs
+++ b/crates/standins/src/policy/scenario.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a run.
+//! Scenarios of load and faults.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,40 +6,40 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// A name that is no scenario.
+    /// A name that is not the name of a scenario.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum InvalidScenario {
-        /// Not in the list.
+        /// The scenario is unknown.
         Unknown(name: String) {
             display("scenario {name:?} is unknown")
         }
     }
 }
 
-/// Load or fault that a run meets.
+/// Load or faults of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scenario {
-    /// Nothing.
+    /// Usual load without faults.
     Steady,
-    /// Trials ask ten times as often.
+    /// Trial organisations send ten times as many requests.
     TrialSurge,
-    /// A burst of long case files starves reranking.
+    /// A burst of long case files overloads reranking.
     LongCaseFiles,
-    /// One server takes five times as long, in each stage in turn.
+    /// One server of each stage in turn is five times as slow.
     Straggler,
-    /// One server of each stage dies in turn.
+    /// One server of each stage in turn crashes.
     ServerDies,
-    /// One server of each stage freezes in turn.
+    /// One server of each stage in turn freezes.
     ServerFreezes,
-    /// All servers of an availability zone go silent.
+    /// All servers of an availability zone stop answering.
     ZoneGoes,
-    /// The platform's table is away.
+    /// The platform's table is unavailable.
     StoreAway,
-    /// A tenth of the hosts is replaced while the host list is ten seconds late.
+    /// A tenth of the hosts is replaced while the host list lags by ten seconds.
     HostListLag,
-    /// Generation loses most of its capacity for a while, and every caller asks again.
+    /// Generation loses most of its capacity for a time, and every caller repeats failed requests.
     RetryStorm,
-    /// A paid organisation asks at ten times its limit.
+    /// A paid organisation sends requests at ten times its limit.
     OrganisationFlood,
 }
 
--- a/crates/standins/src/policy/schedule.rs
+++ b/crates/standins/src/policy/schedule.rs
@@ -1,4 +1,4 @@
-//! When a scenario's faults come.
+//! Schedule of a scenario's faults.
 
 use std::time::Duration;
 
@@ -11,19 +11,20 @@
 /// Seconds at which the main fault begins and ends.
 const BEGIN_S: u64 = 15;
 const END_S: u64 = 40;
-/// Seconds between faults that strike the stages in turn.
+/// Seconds between faults that affect the stages in turn.
 const TURN_S: u64 = 8;
 /// Lag of the host list in its own scenario.
 const LIST_LAG_S: u64 = 10;
-/// Seconds that the cause of the retry storm lasts.
+/// Duration of the cause of the retry storm, in seconds.
 const STORM_S: u64 = 10;
-/// Slowness of a straggler.
+/// Factor by which a straggler is slower.
 const STRAGGLER_FACTOR: f64 = 5.0;
-/// Slowness of generation that causes the retry storm.
+/// Factor by which generation is slower to cause the retry storm.
 const STORM_FACTOR: f64 = 8.0;
-/// Growth of trials in a surge.
+/// Factor of the trial demand in a surge.
 const SURGE_FACTOR: f64 = 10.0;
-/// Demand of the flooding organisation: ten times its limit, which is 1.5 times its usual rate.
+/// Demand factor of the flooding organisation: ten times its limit, which is 1.5 times its usual
+/// rate.
 const FLOOD_FACTOR: f64 = 15.0;
 /// Share of long case files in their burst.
 const LONG_SHARE: f64 = 0.3;
@@ -60,8 +61,12 @@
         }),
         Scenario::ZoneGoes => zone_goes(deployment, seed),
         Scenario::StoreAway => span(
-            Fault::Store { is_away: true },
-            Fault::Store { is_away: false },
+            Fault::Store {
+                is_unavailable: true,
+            },
+            Fault::Store {
+                is_unavailable: false,
+            },
         ),
         Scenario::HostListLag => host_list_lag(deployment, seed),
         Scenario::RetryStorm => retry_storm(deployment),
@@ -105,7 +110,7 @@
         .collect()
 }
 
-/// Strikes one server of each stage, one stage after another.
+/// Faults at one server of each stage, one stage after another.
 fn in_turn(
     deployment: &Deployment,
     seed: u64,
@@ -130,7 +135,7 @@
     let mut planned: Vec<_> = gone
         .map(|server| (begin, Fault::Vanish { server }))
         .collect();
-    planned.push((Duration::from_secs(END_S), Fault::ShowHosts));
+    planned.push((Duration::from_secs(END_S), Fault::PublishHosts));
     planned
 }
 
@@ -147,7 +152,7 @@
         .iter()
         .map(|&server| (begin, Fault::Replace { server }));
     let mut planned: Vec<_> = gone.chain(new).collect();
-    planned.push((begin + Duration::from_secs(LIST_LAG_S), Fault::ShowHosts));
+    planned.push((begin + Duration::from_secs(LIST_LAG_S), Fault::PublishHosts));
     planned
 }
 
@@ -178,7 +183,7 @@
     first_server(deployment, deployment.services.len())
 }
 
-/// Work of a long case file at a service, as a multiple of the usual.
+/// Factor of a long case file's work at a service.
 pub(super) const fn long_file_factor(service: usize) -> f64 {
     match service {
         RERANK_SERVICE => 6.0,
--- a/crates/standins/src/policy/service_spec.rs
+++ b/crates/standins/src/policy/service_spec.rs
@@ -1,13 +1,13 @@
 //! A service of a deployment.
 
-/// Servers of one service and how they work.
+/// Servers of one service, their slots and service times.
 #[derive(Debug, Clone)]
 pub struct ServiceSpec {
     /// Name of the service.
     pub name: &'static str,
-    /// Backend servers.
+    /// Number of backend servers.
     pub servers: usize,
-    /// Requests that one server takes at once.
+    /// Requests that one server runs at once.
     pub slots: u32,
     /// Median time of one request.
     pub median_ms: f64,
--- a/crates/standins/src/policy/bench.rs
+++ b/crates/standins/src/policy/simulation.rs
@@ -1,7 +1,7 @@
-//! One run of a scenario.
+//! Simulation of one run of a scenario.
 //!
-//! The bench plans events on a virtual clock, asks the core's decisions what to do, and checks
-//! after each event that what must always hold still holds.
+//! The simulation schedules events on a virtual clock, calls the core's decision code, and checks
+//! invariants as the events happen.
 
 mod caller;
 mod entry_side;
@@ -17,43 +17,43 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use super::agenda::Agenda;
 use super::attempt::Attempt;
 use super::entry::Entry;
 use super::event::Event;
+use super::event_queue::EventQueue;
 use super::fake_server::{Condition, FakeServer};
 use super::request::Request;
 use super::schedule::schedule;
 use super::tally::Tally;
 use super::{Deployment, Figures, Mechanisms, Scenario};
 
-/// One message's way between two processes: the brief's delay between availability zones.
-const HOP: Duration = Duration::from_millis(1);
-/// When arrivals end; what is in flight then runs on to its end.
+/// Delay of one message between two processes: the specified delay between availability zones.
+const MESSAGE_DELAY: Duration = Duration::from_millis(1);
+/// When arrivals end; requests in flight then run to their end.
 const END: Duration = Duration::from_mins(1);
-/// Interval at which sidecars look for expired work.
+/// Interval at which sidecars remove expired work.
 const SWEEP: Duration = Duration::from_millis(50);
-/// Spreads the seed over the parts of a run, so that no two draw the same numbers.
+/// Multiplier of the seed, so that nearby seeds draw unrelated numbers.
 const SEED_STRIDE: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A run: fakes, decisions and the virtual clock.
+/// A simulation run: simulated servers, decision state and the virtual clock.
 ///
 /// # Examples
 ///
 /// ```no_run
-/// use amaranthscale_standins::policy::{Bench, Deployment, Mechanisms, Scenario};
+/// use amaranthscale_standins::policy::{Simulation, Deployment, Mechanisms, Scenario};
 ///
-/// let bench = Bench::new(Deployment::delta_basin(), Scenario::TrialSurge, Mechanisms::design(), 7);
-/// let figures = bench.run();
+/// let simulation = Simulation::new(Deployment::delta_basin(), Scenario::TrialSurge, Mechanisms::design(), 7);
+/// let figures = simulation.run();
 /// assert!(figures.paid_attainment > 0.9);
 /// ```
 #[derive(Debug)]
-pub struct Bench {
+pub struct Simulation {
     deployment: Deployment,
     scenario: Scenario,
     mechanisms: Mechanisms,
     random: SmallRng,
-    agenda: Agenda,
+    event_queue: EventQueue,
     entries: Vec<Entry>,
     servers: Vec<FakeServer>,
     requests: Vec<Request>,
@@ -62,11 +62,11 @@
     host_list: HostList,
     demand_factors: Vec<f64>,
     long_share: f64,
-    is_store_away: bool,
+    is_table_unavailable: bool,
     retries: u64,
 }
 
-impl Bench {
+impl Simulation {
     /// Prepares a run.
     #[must_use]
     pub fn new(
@@ -75,9 +75,9 @@
         mechanisms: Mechanisms,
         seed: u64,
     ) -> Self {
-        let mut bench = Self {
+        let mut simulation = Self {
             random: SmallRng::seed_from_u64(seed.wrapping_mul(SEED_STRIDE)),
-            agenda: Agenda::default(),
+            event_queue: EventQueue::default(),
             entries: Vec::new(),
             servers: Vec::new(),
             requests: Vec::new(),
@@ -86,27 +86,27 @@
             host_list: HostList::default(),
             demand_factors: vec![1.0; deployment.organisations.len()],
             long_share: 0.0,
-            is_store_away: false,
+            is_table_unavailable: false,
             retries: 0,
             deployment,
             scenario,
             mechanisms,
         };
-        bench.add_servers();
-        bench.add_entries();
-        bench.show_hosts();
-        bench.plan(seed);
-        bench
+        simulation.add_servers();
+        simulation.add_entries();
+        simulation.publish_hosts();
+        simulation.schedule_events(seed);
+        simulation
     }
 
-    /// Runs to the end and counts.
+    /// Runs to the end and computes the figures.
     ///
     /// # Panics
     ///
-    /// When an invariant does not hold, which is a bug in a decision.
+    /// When an invariant is violated, which is a bug in the decision code.
     #[must_use]
     pub fn run(mut self) -> Figures {
-        while let Some(event) = self.agenda.next() {
+        while let Some(event) = self.event_queue.next() {
             self.handle(event);
         }
         self.check_all_answered();
@@ -120,12 +120,18 @@
                 organisation,
                 pipeline,
             } => self.arrive(organisation, pipeline),
-            Event::Ask { request } => self.ask(request),
-            Event::AskAnew { request } => self.arrive_anew(request),
-            Event::Deadline { request, ask } => self.deadline(request, ask),
+            Event::Try { request } => self.send_try(request),
+            Event::Repeat { request } => self.arrive_repeat(request),
+            Event::Deadline {
+                request,
+                try_number,
+            } => self.deadline(request, try_number),
             Event::Dispatched { attempt } => self.dispatched(attempt),
             Event::Revoked { attempt } => self.revoked(attempt),
-            Event::Served { attempt, life } => self.served(attempt, life),
+            Event::Served {
+                attempt,
+                incarnation,
+            } => self.served(attempt, incarnation),
             Event::Reply {
                 attempt,
                 end,
@@ -134,7 +140,7 @@
             Event::Reset { attempt } => self.reset(attempt),
             Event::Hedge { attempt } => self.hedge(attempt),
             Event::KeepAlive { attempt } => self.keep_alive(attempt),
-            Event::Fault(fault) => self.strike(fault),
+            Event::Fault(fault) => self.apply_fault(fault),
             Event::Sweep => self.sweep(),
         }
     }
@@ -175,19 +181,19 @@
         }
     }
 
-    fn plan(&mut self, seed: u64) {
+    fn schedule_events(&mut self, seed: u64) {
         for organisation in 0..self.deployment.organisations.len() {
             for pipeline in 0..self.deployment.pipelines.len() {
-                self.plan_arrival(organisation, pipeline);
+                self.schedule_arrival(organisation, pipeline);
             }
         }
         for (time, fault) in schedule(self.scenario, &self.deployment, seed) {
-            self.agenda.at(time, Event::Fault(fault));
+            self.event_queue.at(time, Event::Fault(fault));
         }
-        self.agenda.after(SWEEP, Event::Sweep);
+        self.event_queue.after(SWEEP, Event::Sweep);
     }
 
-    fn show_hosts(&mut self) {
+    fn publish_hosts(&mut self) {
         let alive = |server: &&FakeServer| server.condition != Condition::Gone;
         let hosts = self
             .servers
@@ -199,13 +205,13 @@
             hosts: hosts.collect(),
         };
         for entry in 0..self.entries.len() {
-            self.see_hosts(entry);
+            self.apply_hosts(entry);
         }
     }
 
-    /// An entry takes the list and greets the hosts on it.
-    fn see_hosts(&mut self, entry: usize) {
-        let now = self.agenda.now();
+    /// An entry applies the host list and observes the stamps of the running hosts on it.
+    fn apply_hosts(&mut self, entry: usize) {
+        let now = self.event_queue.now();
         let router = &mut self.entries[entry].router;
         router.set_hosts(&self.host_list, now);
         for server in self
@@ -222,7 +228,7 @@
     }
 }
 
-/// Turns one of the bench's own names into an identifier.
+/// Parses one of the simulation's own names.
 fn name<T: std::str::FromStr<Err: std::fmt::Debug>>(text: impl AsRef<str>) -> T {
     text.as_ref()
         .parse()
--- a/crates/standins/src/policy/bench/caller.rs
+++ b/crates/standins/src/policy/simulation/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: they ask at their own pace, and come back when told to.
+//! Callers: they send requests at their own rate, and retry after the delay that a refusal states.
 
 use std::time::Duration;
 
@@ -10,18 +10,18 @@
 use super::super::event::Event;
 use super::super::request::Request;
 use super::super::{Mechanism, Scenario};
-use super::{Bench, END};
+use super::{END, Simulation};
 
-/// Pause of a caller that was given no time to come back.
-const PAUSE: Duration = Duration::from_millis(500);
-/// Pause of a caller that asks again at will.
-const NO_PAUSE: Duration = Duration::from_millis(10);
-/// Times that a caller in a storm asks anew.
+/// Retry delay of a caller whose answer states none.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Retry delay of a caller that ignores stated delays.
+const BASELINE_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Maximum number of times that a caller in a storm repeats a failed request.
 const MAX_REPEATS: u32 = 5;
 
-impl Bench {
-    /// Plans the next arrival of an organisation, at its present rate.
-    pub(super) fn plan_arrival(&mut self, organisation: usize, pipeline: usize) {
+impl Simulation {
+    /// Schedules the next arrival of an organisation, at its current rate.
+    pub(super) fn schedule_arrival(&mut self, organisation: usize, pipeline: usize) {
         let spec = &self.deployment.organisations[organisation];
         let rate = if pipeline == SETTLE {
             spec.settle_rate
@@ -34,8 +34,8 @@
         }
         let draw: f64 = self.random.random_range(f64::EPSILON..1.0);
         let wait = Duration::from_secs_f64(-draw.ln() / per_s);
-        if self.agenda.now() + wait < END {
-            self.agenda.after(
+        if self.event_queue.now() + wait < END {
+            self.event_queue.after(
                 wait,
                 Event::Arrival {
                     organisation,
@@ -47,40 +47,40 @@
 
     /// A new request; the organisation's next one does not wait for its answer.
     pub(super) fn arrive(&mut self, organisation: usize, pipeline: usize) {
-        self.plan_arrival(organisation, pipeline);
+        self.schedule_arrival(organisation, pipeline);
         let is_long = self.random.random_bool(self.long_share);
         self.new_request(organisation, pipeline, is_long, 0);
     }
 
-    /// Takes the final answer to one ask, and lets the caller decide what to do.
+    /// Records the final answer of one try; the caller retries, repeats the request or stops.
     pub(super) fn answer(&mut self, request: usize, code: ResultCode, retry_after: Option<u64>) {
         self.close(request, code);
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let wait = self.caller_wait(retry_after);
         let asked = &mut self.requests[request];
-        let may_ask_again = retry_after.is_some() && now + wait < asked.deadline;
-        if may_ask_again {
-            self.agenda.after(wait, Event::Ask { request });
+        let may_retry_later = retry_after.is_some() && now + wait < asked.deadline;
+        if may_retry_later {
+            self.event_queue.after(wait, Event::Try { request });
             return;
         }
         assert!(asked.answer.is_none(), "a request has one final answer");
         asked.answer = Some((code, now));
         if !asked.is_attained() && self.scenario == Scenario::RetryStorm {
-            self.ask_anew(request, wait);
+            self.repeat_request(request, wait);
         }
     }
 
     fn new_request(&mut self, organisation: usize, pipeline: usize, is_long: bool, repeats: u32) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let deadline = now + self.deployment.pipelines[pipeline].deadline;
         self.requests.push(Request {
             organisation,
             pipeline,
             entry: 0,
-            asked_at: now,
+            first_sent_at: now,
             deadline,
             is_long,
-            ask: 0,
+            try_number: 0,
             is_open: false,
             is_admitted: false,
             stage: 0,
@@ -91,33 +91,33 @@
             repeats,
             answer: None,
         });
-        self.ask(self.requests.len() - 1);
+        self.send_try(self.requests.len() - 1);
     }
 
-    /// In a storm, a caller whose request failed asks the same anew, with a whole deadline.
-    fn ask_anew(&mut self, request: usize, wait: Duration) {
+    /// In a storm, a caller whose request failed sends it again as a new one with a full deadline.
+    fn repeat_request(&mut self, request: usize, wait: Duration) {
         if self.requests[request].repeats < MAX_REPEATS {
-            self.agenda.after(wait, Event::AskAnew { request });
+            self.event_queue.after(wait, Event::Repeat { request });
         }
     }
 
-    /// The fresh request of [`ask_anew`](Self::ask_anew).
-    pub(super) fn arrive_anew(&mut self, request: usize) {
+    /// The new request of [`repeat_request`](Self::ask_anew).
+    pub(super) fn arrive_repeat(&mut self, request: usize) {
         let former = &self.requests[request];
         let (organisation, pipeline) = (former.organisation, former.pipeline);
         let (is_long, repeats) = (former.is_long, former.repeats + 1);
         self.new_request(organisation, pipeline, is_long, repeats);
     }
 
-    /// Callers honour the time to come back; those of the baseline get none and ask at will.
+    /// Callers honour the stated retry delay; those of the baseline get none.
     fn caller_wait(&self, retry_after_ms: Option<u64>) -> Duration {
         if !self.mechanisms.has(Mechanism::Admission) {
-            return NO_PAUSE;
+            return BASELINE_RETRY_DELAY;
         }
-        retry_after_ms.map_or(PAUSE, Duration::from_millis)
+        retry_after_ms.map_or(DEFAULT_RETRY_DELAY, Duration::from_millis)
     }
 
-    /// Closes one ask at its entry.
+    /// Ends one try at its entry.
     fn close(&mut self, request: usize, code: ResultCode) {
         self.check_answer(request, code);
         let asked = &mut self.requests[request];
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Ends an ask as refused.
+    /// Ends a try with a refusal.
     pub(super) fn refuse(&mut self, request: usize, refusal: Refusal) {
         self.answer(request, refusal.code, Some(refusal.retry_after_ms));
     }
--- a/crates/standins/src/policy/bench/entry_side.rs
+++ b/crates/standins/src/policy/simulation/entry_side.rs
@@ -1,4 +1,4 @@
-//! What an entry does for a request, by the core's decisions.
+//! Handling of requests at an entry, with the core's decision code.
 
 use std::time::Duration;
 
@@ -13,44 +13,45 @@
 use super::super::attempt::Attempt;
 use super::super::event::Event;
 use super::super::fake_server::Condition;
-use super::{Bench, HOP, name};
+use super::{MESSAGE_DELAY, Simulation, name};
 
-/// Time after which a connection that does not answer is given up.
+/// Interval of connection checks; an attempt whose connection does not answer has timed out.
 const KEEP_ALIVE: Duration = Duration::from_secs(1);
-/// Tries of one stage within the budget, and at will.
+/// Maximum attempts of one stage with a retry budget, and without one.
 const MAX_TRIES: usize = 4;
-const MAX_TRIES_AT_WILL: usize = 10;
-/// Plain timeout of retries at will: one in so many of the whole deadline.
+const MAX_TRIES_WITHOUT_BUDGET: usize = 10;
+/// Without a retry budget an attempt times out after the whole deadline divided by this.
 const TIMEOUTS_PER_DEADLINE: u32 = 2;
-/// Time to come back when the table is away.
+/// Retry delay while the table is unavailable.
 const TABLE_RETRY_AFTER_MS: u64 = 1_000;
 
-impl Bench {
-    /// A caller asks at an entry that the balancer picks.
-    pub(super) fn ask(&mut self, request: usize) {
+impl Simulation {
+    /// A caller sends a try to an entry that the balancer chooses.
+    pub(super) fn send_try(&mut self, request: usize) {
         let entry = self.random.random_range(0..self.entries.len());
         let asked = &mut self.requests[request];
         asked.entry = entry;
-        asked.ask += 1;
+        asked.try_number += 1;
         asked.is_open = true;
         asked.stage = 0;
         asked.attempts.clear();
         asked.waiting.clear();
         let deadline = Event::Deadline {
             request,
-            ask: asked.ask,
+            try_number: asked.try_number,
         };
-        self.agenda.at(self.requests[request].deadline, deadline);
+        self.event_queue
+            .at(self.requests[request].deadline, deadline);
         match self.admit(request) {
             Ok(()) => self.start_stage(request),
             Err(refusal) => self.refuse(request, refusal),
         }
     }
 
-    /// The deadline has passed: nobody waits for the work any more.
-    pub(super) fn deadline(&mut self, request: usize, ask: u32) {
+    /// The deadline has passed: the work is no longer needed.
+    pub(super) fn deadline(&mut self, request: usize, try_number: u32) {
         let asked = &self.requests[request];
-        if !asked.is_open || asked.ask != ask {
+        if !asked.is_open || asked.try_number != try_number {
             return;
         }
         self.cancel_waiting(request);
@@ -58,9 +59,9 @@
         self.answer(request, code, None);
     }
 
-    /// An answer has come to the entry.
+    /// An answer has arrived at the entry.
     pub(super) fn reply(&mut self, attempt: usize, end: AttemptEnd, stamp: &Stamp) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let entry = self.requests[self.attempts[attempt].request].entry;
         let host = self.attempts[attempt].host.clone();
         self.entries[entry].router.observe(&host, stamp, now);
@@ -72,7 +73,7 @@
         self.end_attempt(attempt, AttemptEnd::Failed);
     }
 
-    /// The first attempt is slow: send a second one beside it, if the budget allows.
+    /// The first attempt is slow: sends a second one in parallel, if the budget allows.
     pub(super) fn hedge(&mut self, attempt: usize) {
         let Attempt {
             request, is_ended, ..
@@ -81,11 +82,11 @@
         if is_ended || !self.entries[entry].hedges.try_retry() {
             return;
         }
-        // No second host is no failure: the first attempt runs on.
+        // Without a second host the first attempt just continues.
         let _ = self.dispatch(request);
     }
 
-    /// Looks whether an attempt's connection still answers.
+    /// Checks whether an attempt's connection still answers.
     pub(super) fn keep_alive(&mut self, attempt: usize) {
         if self.attempts[attempt].is_ended {
             return;
@@ -96,14 +97,15 @@
         }
         match self.servers[self.attempts[attempt].server].condition {
             Condition::Up | Condition::Dead => {
-                self.agenda.after(KEEP_ALIVE, Event::KeepAlive { attempt });
+                self.event_queue
+                    .after(KEEP_ALIVE, Event::KeepAlive { attempt });
             }
             Condition::Frozen | Condition::Gone => self.end_attempt(attempt, AttemptEnd::TimedOut),
         }
     }
 
     fn admit(&mut self, request: usize) -> Result<(), Refusal> {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let estimates = self.estimates(request, 0);
         let entries = u32::try_from(self.entries.len()).unwrap_or(u32::MAX);
         let asked = &mut self.requests[request];
@@ -126,7 +128,7 @@
     }
 
     fn estimates(&self, request: usize, from_stage: usize) -> Vec<StageEstimate> {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let asked = &self.requests[request];
         let class = self.deployment.organisations[asked.organisation].class;
         let stages = &self.deployment.pipelines[asked.pipeline].stages;
@@ -147,13 +149,13 @@
         entry.retries.first_try();
         entry.hedges.first_try();
         match self.dispatch(request) {
-            Ok(attempt) => self.plan_hedge(attempt),
-            Err(refusal) => self.give_up(request, refusal),
+            Ok(attempt) => self.schedule_hedge(attempt),
+            Err(refusal) => self.end_with_failure(request, refusal),
         }
     }
 
     fn dispatch(&mut self, request: usize) -> Result<usize, Refusal> {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let expiry = self.expiry(request);
         let asked = &mut self.requests[request];
         let pipeline = &self.deployment.pipelines[asked.pipeline];
@@ -180,7 +182,7 @@
         self.attempts.push(Attempt {
             id,
             request,
-            ask: asked.ask,
+            try_number: asked.try_number,
             server: server.expect("a listed host has a server"),
             host,
             sent_at: now,
@@ -191,21 +193,23 @@
             stopped_at: None,
             is_used: false,
         });
-        self.agenda.after(HOP, Event::Dispatched { attempt });
-        let patience = self.patience(request);
-        self.agenda.after(patience, Event::KeepAlive { attempt });
+        self.event_queue
+            .after(MESSAGE_DELAY, Event::Dispatched { attempt });
+        let timeout = self.attempt_timeout(request);
+        self.event_queue
+            .after(timeout, Event::KeepAlive { attempt });
         Ok(attempt)
     }
 
     fn expiry(&self, request: usize) -> Duration {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let asked = &self.requests[request];
         let later = self.estimates(request, asked.stage + 1);
         let budget = TimeBudget::new(asked.deadline.saturating_sub(now));
         now + Admission::stage_budget(budget, &later).duration()
     }
 
-    fn patience(&self, request: usize) -> Duration {
+    fn attempt_timeout(&self, request: usize) -> Duration {
         if self.mechanisms.has(Mechanism::RetryBudget) {
             return KEEP_ALIVE;
         }
@@ -213,7 +217,7 @@
         self.deployment.pipelines[pipeline].deadline / TIMEOUTS_PER_DEADLINE
     }
 
-    fn plan_hedge(&mut self, attempt: usize) {
+    fn schedule_hedge(&mut self, attempt: usize) {
         let asked = &self.requests[self.attempts[attempt].request];
         let pipeline = &self.deployment.pipelines[asked.pipeline];
         if !self.mechanisms.has(Mechanism::Hedges) || !pipeline.is_repeatable {
@@ -221,16 +225,16 @@
         }
         let service = pipeline.stages[asked.stage];
         if let Some(delay) = self.entries[asked.entry].hedge_delay(service) {
-            self.agenda.after(delay, Event::Hedge { attempt });
+            self.event_queue.after(delay, Event::Hedge { attempt });
         }
     }
 
     fn end_attempt(&mut self, attempt: usize, end: AttemptEnd) {
-        // A late answer, or one to an attempt that was given up, changes nothing but the stamp.
+        // An answer to an attempt that has ended only updates the stamp.
         if self.attempts[attempt].is_ended {
             return;
         }
-        self.settle_attempt(attempt, end);
+        self.record_attempt_end(attempt, end);
         match end {
             AttemptEnd::Complete => self.stage_done(attempt),
             AttemptEnd::Refused(code) => self.retry(attempt, code),
@@ -240,9 +244,9 @@
         }
     }
 
-    /// The entry waits no more for an attempt, and its router learns why.
-    fn settle_attempt(&mut self, attempt: usize, end: AttemptEnd) {
-        let now = self.agenda.now();
+    /// The entry no longer waits for an attempt, and its router records the reason.
+    fn record_attempt_end(&mut self, attempt: usize, end: AttemptEnd) {
+        let now = self.event_queue.now();
         let ended = &mut self.attempts[attempt];
         ended.is_ended = true;
         let asked = &mut self.requests[ended.request];
@@ -254,7 +258,7 @@
     }
 
     fn stage_done(&mut self, attempt: usize) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let done = &mut self.attempts[attempt];
         done.is_used = true;
         let elapsed = now.saturating_sub(done.sent_at);
@@ -287,26 +291,26 @@
             self.answer(request, ResultCode::OutcomeUnknown, None);
             return;
         }
-        // Another sidecar asks the same table.
+        // Another sidecar would use the same table.
         if code == ResultCode::TableAway || !self.may_retry(request) {
-            self.give_up(request, refusal);
+            self.end_with_failure(request, refusal);
             return;
         }
         self.retries += 1;
         if let Err(refusal) = self.dispatch(request) {
-            self.give_up(request, refusal);
+            self.end_with_failure(request, refusal);
         }
     }
 
     fn may_retry(&mut self, request: usize) -> bool {
         let asked = &self.requests[request];
         if !self.mechanisms.has(Mechanism::RetryBudget) {
-            return asked.tried.len() < MAX_TRIES_AT_WILL;
+            return asked.tried.len() < MAX_TRIES_WITHOUT_BUDGET;
         }
         asked.tried.len() < MAX_TRIES && self.entries[asked.entry].retries.try_retry()
     }
 
-    /// Retries at will: after a plain timeout another attempt goes out, and the first runs on.
+    /// Without a retry budget: after a timeout another attempt is sent, and the first continues.
     fn time_out(&mut self, attempt: usize) {
         let request = self.attempts[attempt].request;
         let is_repeatable =
@@ -316,7 +320,7 @@
         }
     }
 
-    fn give_up(&mut self, request: usize, refusal: Refusal) {
+    fn end_with_failure(&mut self, request: usize, refusal: Refusal) {
         let code = self.failure_code(request, refusal.code);
         if code == refusal.code {
             self.refuse(request, refusal);
@@ -325,7 +329,7 @@
         }
     }
 
-    /// The code that tells the truth about what ran.
+    /// The result code that states correctly whether the request ran.
     fn failure_code(&self, request: usize, if_not_run: ResultCode) -> ResultCode {
         let asked = &self.requests[request];
         let has_run = asked
@@ -342,9 +346,10 @@
 
     fn cancel_waiting(&mut self, request: usize) {
         for attempt in std::mem::take(&mut self.requests[request].waiting) {
-            self.settle_attempt(attempt, AttemptEnd::Cancelled);
+            self.record_attempt_end(attempt, AttemptEnd::Cancelled);
             if self.mechanisms.has(Mechanism::Cancel) {
-                self.agenda.after(HOP, Event::Revoked { attempt });
+                self.event_queue
+                    .after(MESSAGE_DELAY, Event::Revoked { attempt });
             }
         }
     }
--- a/crates/standins/src/policy/bench/faults.rs
+++ b/crates/standins/src/policy/simulation/faults.rs
@@ -1,13 +1,13 @@
-//! Faults as they strike the fakes.
+//! Application of faults to the simulation.
 
 use super::super::event::Event;
 use super::super::fake_server::{Condition, FakeServer};
 use super::super::fault::Fault;
-use super::{Bench, HOP};
+use super::{MESSAGE_DELAY, Simulation};
 
-impl Bench {
-    /// Makes a fault happen.
-    pub(super) fn strike(&mut self, fault: Fault) {
+impl Simulation {
+    /// Applies a fault.
+    pub(super) fn apply_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Speed { server, factor } => self.servers[server].speed_factor = factor,
             Fault::Die { server } => self.die(server),
@@ -15,8 +15,8 @@
             Fault::Freeze { server } => self.servers[server].condition = Condition::Frozen,
             Fault::Thaw { server } => self.thaw(server),
             Fault::Replace { server } => self.replace(server),
-            Fault::ShowHosts => self.show_hosts(),
-            Fault::Store { is_away } => self.is_store_away = is_away,
+            Fault::PublishHosts => self.publish_hosts(),
+            Fault::Store { is_unavailable } => self.is_table_unavailable = is_unavailable,
             Fault::Demand {
                 organisation,
                 factor,
@@ -25,14 +25,15 @@
         }
     }
 
-    /// A process ends: whoever waits for it sees its connection reset.
+    /// A process ends: the connections of all attempts that wait for it are reset.
     fn die(&mut self, server: usize) {
         self.lose(server, Condition::Dead);
         let waiting = self.attempts.iter().enumerate();
         let waiting = waiting.filter(|(_, attempt)| attempt.server == server && !attempt.is_ended);
         let waiting: Vec<_> = waiting.map(|(number, _)| number).collect();
         for attempt in waiting {
-            self.agenda.after(HOP, Event::Reset { attempt });
+            self.event_queue
+                .after(MESSAGE_DELAY, Event::Reset { attempt });
         }
     }
 
@@ -41,10 +42,10 @@
     }
 
     fn lose(&mut self, server: usize, condition: Condition) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let fake = &mut self.servers[server];
         fake.condition = condition;
-        fake.lose_everything(&self.deployment.services[fake.service], &self.mechanisms);
+        fake.drop_all_work(&self.deployment.services[fake.service], &self.mechanisms);
         let running = self
             .attempts
             .iter_mut()
@@ -54,19 +55,25 @@
         }
     }
 
-    /// A stopped process goes on with what reached it meanwhile.
+    /// A frozen process resumes, with the events that reached it in the meantime.
     fn thaw(&mut self, server: usize) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let fake = &mut self.servers[server];
         fake.condition = Condition::Up;
-        let life = fake.life;
-        for attempt in std::mem::take(&mut fake.held_ends) {
-            self.agenda.at(now, Event::Served { attempt, life });
+        let incarnation = fake.incarnation;
+        for attempt in std::mem::take(&mut fake.held_completions) {
+            self.event_queue.at(
+                now,
+                Event::Served {
+                    attempt,
+                    incarnation,
+                },
+            );
         }
-        for attempt in std::mem::take(&mut fake.held) {
-            self.agenda.at(now, Event::Dispatched { attempt });
+        for attempt in std::mem::take(&mut fake.held_arrivals) {
+            self.event_queue.at(now, Event::Dispatched { attempt });
         }
-        self.pump(server);
+        self.start_queued(server);
     }
 
     fn replace(&mut self, server: usize) {
--- a/crates/standins/src/policy/bench/invariants.rs
+++ b/crates/standins/src/policy/simulation/invariants.rs
@@ -1,14 +1,15 @@
-//! What must hold in every run, whatever fails.
+//! Invariants of every run, for all faults.
 
 use amaranthscale_core::{Ran, ResultCode};
 
-use super::Bench;
+use super::Simulation;
 
-/// At most one host in so many of a service may be ejected.
+/// Hosts of a service per host that may be ejected.
 const HOSTS_PER_EJECTED: usize = 3;
 
-impl Bench {
-    /// An ask is answered once, and a refused one truly did not run.
+impl Simulation {
+    /// A try is answered once, a refused one did not run, and a request that must not be repeated
+    /// runs at most once.
     pub(super) fn check_answer(&self, request: usize, code: ResultCode) {
         let asked = &self.requests[request];
         assert!(asked.is_open, "request {request} was answered twice");
@@ -31,7 +32,7 @@
         );
     }
 
-    /// No server runs more than its slots.
+    /// No server runs more attempts than it has slots.
     pub(super) fn check_slots(&self, server: usize) {
         let queue = &self.servers[server].queue;
         assert!(
@@ -40,7 +41,7 @@
         );
     }
 
-    /// No entry leaves out more than a third of a service.
+    /// No entry ejects more than a third of a service's hosts.
     pub(super) fn check_ejected(&self, entry: usize, server: usize) {
         let router = &self.entries[entry].router;
         let Some(service) = self.servers[server].service_id() else {
@@ -54,7 +55,7 @@
         );
     }
 
-    /// At the end, every request has its answer.
+    /// At the end, every request has an answer.
     pub(super) fn check_all_answered(&self) {
         let open = self
             .requests
--- a/crates/standins/src/policy/bench/sidecar_side.rs
+++ b/crates/standins/src/policy/simulation/sidecar_side.rs
@@ -1,4 +1,4 @@
-//! What a sidecar and its backend server do, by the core's decisions.
+//! Simulation of sidecars and backend servers, with the core's decision code.
 
 use std::time::Duration;
 
@@ -12,34 +12,36 @@
 use super::super::event::Event;
 use super::super::fake_server::{Condition, clock};
 use super::super::schedule::long_file_factor;
-use super::{Bench, HOP, SWEEP, name};
+use super::{MESSAGE_DELAY, SWEEP, Simulation, name};
 
-/// Expiry of work that no queue drops: beyond the end of every run.
+/// Expiry of work that never expires: after the end of every run.
 const NO_EXPIRY: Duration = Duration::from_hours(1);
 
-impl Bench {
-    /// An attempt has reached its sidecar.
+impl Simulation {
+    /// An attempt has arrived at its sidecar.
     pub(super) fn dispatched(&mut self, attempt: usize) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let server = self.attempts[attempt].server;
         match self.servers[server].condition {
-            Condition::Up => self.take_in(attempt, server, now),
-            Condition::Dead => self.agenda.after(HOP, Event::Reset { attempt }),
-            Condition::Frozen => self.servers[server].held.push(attempt),
+            Condition::Up => self.enqueue(attempt, server, now),
+            Condition::Dead => self
+                .event_queue
+                .after(MESSAGE_DELAY, Event::Reset { attempt }),
+            Condition::Frozen => self.servers[server].held_arrivals.push(attempt),
             Condition::Gone => {}
         }
     }
 
-    /// The entry waits no more for an attempt.
+    /// A revocation has arrived: the entry no longer waits for an attempt.
     pub(super) fn revoked(&mut self, attempt: usize) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let revoked = &self.attempts[attempt];
         let (id, server, is_running) = (revoked.id, revoked.server, revoked.is_running());
         let started_at = revoked.started_at.unwrap_or(now);
         let service = self.servers[server].service;
         let fake = &mut self.servers[server];
         if fake.condition == Condition::Frozen {
-            fake.held.retain(|held| *held != attempt);
+            fake.held_arrivals.retain(|held| *held != attempt);
         }
         if fake.condition != Condition::Up || fake.queue.remove(&id) || !is_running {
             return;
@@ -49,20 +51,20 @@
             fake.meter
                 .record_cancelled(millis(now.saturating_sub(started_at)), clock(now));
             self.attempts[attempt].stopped_at = Some(now);
-            self.pump(server);
+            self.start_queued(server);
         }
     }
 
-    /// The backend server is done with an attempt.
-    pub(super) fn served(&mut self, attempt: usize, life: u32) {
-        let now = self.agenda.now();
+    /// The backend server has completed an attempt.
+    pub(super) fn served(&mut self, attempt: usize, incarnation: u32) {
+        let now = self.event_queue.now();
         let server = self.attempts[attempt].server;
         let fake = &mut self.servers[server];
-        if fake.life != life || !self.attempts[attempt].is_running() {
+        if fake.incarnation != incarnation || !self.attempts[attempt].is_running() {
             return;
         }
         if fake.condition == Condition::Frozen {
-            fake.held_ends.push(attempt);
+            fake.held_completions.push(attempt);
             return;
         }
         let started_at = self.attempts[attempt].started_at.unwrap_or(now);
@@ -71,14 +73,14 @@
         fake.queue.release(self.attempts[attempt].id);
         self.attempts[attempt].stopped_at = Some(now);
         self.send(attempt, AttemptEnd::Complete);
-        self.pump(server);
+        self.start_queued(server);
     }
 
-    /// Sidecars look for expired work, also while nothing ends.
+    /// Sidecars remove expired work, also while no attempt ends.
     pub(super) fn sweep(&mut self) {
         for server in 0..self.servers.len() {
             if self.servers[server].condition == Condition::Up {
-                self.pump(server);
+                self.start_queued(server);
             }
         }
         let is_open = self
@@ -87,14 +89,14 @@
             .rev()
             .take(10_000)
             .any(|asked| asked.answer.is_none());
-        if is_open || self.agenda.now() < super::END {
-            self.agenda.after(SWEEP, Event::Sweep);
+        if is_open || self.event_queue.now() < super::END {
+            self.event_queue.after(SWEEP, Event::Sweep);
         }
     }
 
-    /// Starts what has its turn, and answers what can no longer make it.
-    pub(super) fn pump(&mut self, server: usize) {
-        let now = self.agenda.now();
+    /// Starts queued attempts while slots are free, and refuses expired ones.
+    pub(super) fn start_queued(&mut self, server: usize) {
+        let now = self.event_queue.now();
         let fake = &mut self.servers[server];
         let expired = fake.queue.expired(clock(now));
         for item in expired {
@@ -107,10 +109,10 @@
         }
     }
 
-    fn take_in(&mut self, attempt: usize, server: usize, now: Duration) {
+    fn enqueue(&mut self, attempt: usize, server: usize, now: Duration) {
         let request = &self.requests[self.attempts[attempt].request];
         let is_repeatable = self.deployment.pipelines[request.pipeline].is_repeatable;
-        if self.is_store_away && !is_repeatable {
+        if self.is_table_unavailable && !is_repeatable {
             self.send(attempt, AttemptEnd::Refused(ResultCode::TableAway));
             return;
         }
@@ -128,10 +130,10 @@
             let code = ResultCode::TrialShed;
             self.send(self.by_id[&displaced.attempt], AttemptEnd::Refused(code));
         }
-        self.pump(server);
+        self.start_queued(server);
     }
 
-    /// What the queue is told; without classes or expiry, all attempts look alike to it.
+    /// The queue's entry for an attempt; without classes or expiry, attempts don't differ in them.
     fn item(&self, attempt: usize, server: usize) -> QueuedAttempt {
         let queued = &self.attempts[attempt];
         let request = &self.requests[queued.request];
@@ -151,12 +153,12 @@
             expiry: clock(if has_expiry { queued.expiry } else { NO_EXPIRY }),
             expected_ms: self.servers[server]
                 .meter
-                .expected_ms(clock(self.agenda.now())),
+                .expected_ms(clock(self.event_queue.now())),
         }
     }
 
     fn start(&mut self, attempt: usize, server: usize) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let work = self.draw_work(attempt, server);
         let started = &mut self.attempts[attempt];
         assert!(started.started_at.is_none(), "an attempt starts once");
@@ -166,8 +168,14 @@
         let fake = &mut self.servers[server];
         fake.meter
             .record_wait(class, millis(now.saturating_sub(started.queued_at)));
-        let life = fake.life;
-        self.agenda.after(work, Event::Served { attempt, life });
+        let incarnation = fake.incarnation;
+        self.event_queue.after(
+            work,
+            Event::Served {
+                attempt,
+                incarnation,
+            },
+        );
     }
 
     fn draw_work(&mut self, attempt: usize, server: usize) -> Duration {
@@ -185,10 +193,10 @@
     }
 
     fn send(&mut self, attempt: usize, end: AttemptEnd) {
-        let now = self.agenda.now();
+        let now = self.event_queue.now();
         let stamp = Box::new(self.servers[self.attempts[attempt].server].stamp(now));
-        self.agenda.after(
-            HOP,
+        self.event_queue.after(
+            MESSAGE_DELAY,
             Event::Reply {
                 attempt,
                 end,
--- a/crates/standins/src/policy/summary.rs
+++ b/crates/standins/src/policy/summary.rs
@@ -11,9 +11,9 @@
 pub struct Spread {
     /// Median over the seeds.
     pub median: f64,
-    /// Least.
+    /// Minimum.
     pub min: f64,
-    /// Most.
+    /// Maximum.
     pub max: f64,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Figures for JSON: bare numbers for one seed, spreads for more.
+    /// Figures as JSON: plain numbers for one seed, spreads for several.
     pub(super) fn to_json(&self) -> Value {
         let value = |column: Column| {
             let spread = self.spread(column);
--- a/crates/standins/src/policy/tally.rs
+++ b/crates/standins/src/policy/tally.rs
@@ -1,4 +1,4 @@
-//! Counts what a run came to.
+//! Computes the figures of a run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,15 +11,15 @@
 use super::request::Request;
 use super::{Deployment, Figures, Scenario};
 
-/// Seconds of arrivals left out while measured times settle.
+/// Seconds of arrivals at the start that are not counted, while measured times stabilise.
 const WARM_UP_S: u64 = 5;
-/// Seconds of arrivals that are counted up to.
+/// Second at which counting of arrivals ends.
 const LAST_S: u64 = 60;
-/// End of the retry storm's cause.
+/// Second at which the retry storm's cause ends.
 const STORM_END_S: u64 = 25;
 /// Paid attainment at which the system counts as recovered.
 const GOAL: f64 = 0.99;
-/// The organisation that floods in its scenario.
+/// Index of the flooding organisation.
 const FLOODING: usize = 0;
 
 /// A part and its whole.
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Nothing asked for is nothing missed.
+    /// The share; 1 without any requests.
     fn get(self) -> f64 {
         if self.whole > 0.0 {
             self.part / self.whole
@@ -47,7 +47,7 @@
     }
 }
 
-/// Counts one run.
+/// Computes the figures of one run.
 #[derive(Debug)]
 pub(super) struct Tally<'a> {
     deployment: &'a Deployment,
@@ -137,7 +137,7 @@
     fn paid_by_second(&self, counted: &[&Request]) -> Vec<f64> {
         let in_second = |second: u64| {
             attainment(counted, |request| {
-                self.is_paid(request) && request.asked_at.as_secs() == second
+                self.is_paid(request) && request.first_sent_at.as_secs() == second
             })
         };
         (WARM_UP_S..LAST_S).map(in_second).collect()
@@ -157,7 +157,7 @@
 }
 
 fn is_counted(request: &Request) -> bool {
-    (WARM_UP_S..LAST_S).contains(&request.asked_at.as_secs())
+    (WARM_UP_S..LAST_S).contains(&request.first_sent_at.as_secs())
 }
 
 fn attainment(counted: &[&Request], is_wanted: impl Fn(&Request) -> bool) -> f64 {
@@ -177,9 +177,9 @@
         let stopped_at = attempt.stopped_at.unwrap_or(started_at);
         let server_s = stopped_at.saturating_sub(started_at).as_secs_f64();
         let request = &requests[attempt.request];
-        let is_last_ask = attempt.ask == request.ask;
+        let is_last_try = attempt.try_number == request.try_number;
         share.whole += server_s;
-        if !(attempt.is_used && is_last_ask && request.is_attained()) {
+        if !(attempt.is_used && is_last_try && request.is_attained()) {
             share.part += server_s;
         }
     }
--- a/crates/standins/tests/policy_bench.rs
+++ b/crates/standins/tests/policy_bench.rs
@@ -1,6 +1,8 @@
 //! Scenarios of the policy bench, with fixed seeds and a virtual clock.
 
-use amaranthscale_standins::policy::{Bench, Deployment, Figures, Mechanism, Mechanisms, Scenario};
+use amaranthscale_standins::policy::{
+    Deployment, Figures, Mechanism, Mechanisms, Scenario, Simulation,
+};
 
 /// Seconds of arrivals before counting starts; the series by second begin there.
 const WARM_UP_S: usize = 5;
@@ -8,7 +10,7 @@
 const AFTER_STORM_S: usize = 50;
 
 fn run(scenario: Scenario, mechanisms: Mechanisms, seed: u64) -> Figures {
-    Bench::new(Deployment::delta_basin(), scenario, mechanisms, seed).run()
+    Simulation::new(Deployment::delta_basin(), scenario, mechanisms, seed).run()
 }
 
 fn after_storm(figures: &Figures) -> &[f64] {
@@ -139,8 +141,8 @@
     for deployment in [Deployment::delta_basin(), Deployment::cedarline()] {
         for scenario in Scenario::ALL {
             let low_load = deployment.clone().with_load(0.3);
-            let _ = Bench::new(low_load.clone(), scenario, Mechanisms::design(), 3).run();
-            let _ = Bench::new(low_load, scenario, Mechanisms::baseline(), 3).run();
+            let _ = Simulation::new(low_load.clone(), scenario, Mechanisms::design(), 3).run();
+            let _ = Simulation::new(low_load, scenario, Mechanisms::baseline(), 3).run();
         }
     }
 }
