--- a/crates/standins/tests/failure_bad_requests.rs
+++ b/crates/standins/tests/failure_bad_requests.rs
@@ -6,7 +6,8 @@
 
 use serde_json::json;
 use support::{
-    BackendPlan, DRIVER_TRIAL_KEY, DeltaBasin, Judge, MILL_ACCOUNTS_KEY, Plan, Request, answer_of,
+    AnswerChecker, BackendPlan, BasinPlan, DRIVER_TRIAL_KEY, DeltaBasin, MILL_ACCOUNTS_KEY,
+    Request, await_answer,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -16,7 +17,7 @@
 
 /// One entry with narrow limits and one host of the grower ledger.
 async fn basin() -> DeltaBasin {
-    let plan = Plan::new([BackendPlan::ledger(1)]);
+    let plan = BasinPlan::new([BackendPlan::ledger(1)]);
     DeltaBasin::start(plan.with_entries(1).with_entry_settings(NARROW_LIMITS)).await
 }
 
@@ -56,7 +57,7 @@
     suspended.success().unwrap();
 
     for (request, code) in bad_requests() {
-        let answer = request.ask(entry).await.unwrap();
+        let answer = request.send(entry).await.unwrap();
 
         assert_eq!(answer.code, code, "{request:?}");
         assert_eq!(answer.ran, "no", "{request:?}");
@@ -72,24 +73,24 @@
     let entry = &basin.entries[0];
     let first = Request::settlement("first");
     let second = first.clone().with_body(json!({"tonnes": 99}).to_string());
-    basin.backends[0].hold(true).await;
-    let first_answer = first.asking(entry);
+    basin.backends[0].hold_calls(true).await;
+    let first_answer = first.send_in_background(entry);
     basin.backends[0].wait_for_executions(1).await;
 
-    let meanwhile = second.ask(entry).await.unwrap();
-    basin.backends[0].hold(false).await;
-    let first_answer = answer_of(first_answer).await;
-    let afterwards = second.ask(entry).await.unwrap();
-    let again = first.ask(entry).await.unwrap();
+    let meanwhile = second.send(entry).await.unwrap();
+    basin.backends[0].hold_calls(false).await;
+    let first_answer = await_answer(first_answer).await;
+    let afterwards = second.send(entry).await.unwrap();
+    let again = first.send(entry).await.unwrap();
 
     assert_eq!((meanwhile.code, meanwhile.ran.as_str()), (2007, "no"));
     assert_eq!((afterwards.code, afterwards.ran.as_str()), (2007, "no"));
     assert_eq!(again.body, first_answer.body);
-    let mut judge = Judge::default();
-    judge.take(&first, Some(first_answer));
-    judge.take(&second, Some(meanwhile));
-    judge.take(&second, Some(afterwards));
-    judge.check(&basin.executions().await);
+    let mut checker = AnswerChecker::default();
+    checker.record(&first, Some(first_answer));
+    checker.record(&second, Some(meanwhile));
+    checker.record(&second, Some(afterwards));
+    checker.check(&basin.executions().await);
 }
 
 /// Two organisations use the same key by chance: each settles its own, and gets its own receipt.
@@ -102,15 +103,15 @@
         .with_key(Some("17"))
         .with_bearer("demo-delta-north-intake");
 
-    let mill_answer = mill.ask_until_final(entry).await;
-    let north_answer = north.ask_until_final(entry).await;
+    let mill_answer = mill.send_until_final(entry).await;
+    let north_answer = north.send_until_final(entry).await;
 
     assert!(mill_answer.is_complete(), "{mill_answer:?}");
     assert!(north_answer.is_complete(), "{north_answer:?}");
-    let mut judge = Judge::default();
-    judge.take(&mill, Some(mill_answer));
-    judge.take(&north, Some(north_answer));
-    judge.check(&basin.executions().await);
+    let mut checker = AnswerChecker::default();
+    checker.record(&mill, Some(mill_answer));
+    checker.record(&north, Some(north_answer));
+    checker.check(&basin.executions().await);
 }
 
 /// A scale house on a bad line sends half of its settlement and then nothing. The entry answers that
@@ -144,13 +145,13 @@
     let entry = &basin.entries[0];
     let bad: Vec<_> = bad_requests()
         .iter()
-        .map(|(one, _)| one.asking(entry))
+        .map(|(one, _)| one.send_in_background(entry))
         .collect();
     let settlement = Request::settlement("good");
 
-    let answer = settlement.ask_until_final(entry).await;
+    let answer = settlement.send_until_final(entry).await;
     for one in bad {
-        let answer = answer_of(one).await;
+        let answer = await_answer(one).await;
         assert_ne!(answer.code / 1000, 4, "{answer:?}");
     }
 
--- a/crates/standins/tests/failure_connections.rs
+++ b/crates/standins/tests/failure_connections.rs
@@ -2,7 +2,9 @@
 
 mod support;
 
-use support::{Answer, BackendHost, BackendPlan, DeltaBasin, Judge, Plan, Request, wait_until};
+use support::{
+    Answer, AnswerChecker, BackendHost, BackendPlan, BasinPlan, DeltaBasin, Request, wait_until,
+};
 use tokio::task::JoinHandle;
 
 /// Requests on the connection as it fails.
@@ -15,7 +17,7 @@
 /// Two entries and one host of the grower ledger, with a relay before its sidecar.
 async fn basin() -> DeltaBasin {
     let backend = BackendPlan::ledger(1).with_relay();
-    DeltaBasin::start(Plan::new([backend])).await
+    DeltaBasin::start(BasinPlan::new([backend])).await
 }
 
 /// Settlements and repeatable calls in turn.
@@ -30,8 +32,8 @@
 /// Requests at the first entry that the backend server has begun and holds.
 async fn held_requests(basin: &DeltaBasin) -> (Vec<Request>, Vec<JoinHandle<Option<Answer>>>) {
     let requests = requests("open", OPEN_REQUESTS);
-    basin.backends[0].hold(true).await;
-    let ask = |request: &Request| request.asking(&basin.entries[0]);
+    basin.backends[0].hold_calls(true).await;
+    let ask = |request: &Request| request.send_in_background(&basin.entries[0]);
     let answers = requests.iter().map(ask).collect();
     basin.backends[0].wait_for_executions(OPEN_REQUESTS).await;
     (requests, answers)
@@ -43,15 +45,15 @@
     requests: Vec<Request>,
     answers: Vec<JoinHandle<Option<Answer>>>,
 ) {
-    basin.backends[0].hold(false).await;
-    let mut judge = Judge::default();
+    basin.backends[0].hold_calls(false).await;
+    let mut checker = AnswerChecker::default();
     for (request, answer) in requests.iter().zip(answers) {
         let answer = answer.await.expect("the caller's task ends");
         let is_complete = answer.as_ref().is_some_and(Answer::is_complete);
         assert!(is_complete, "{request:?}: {answer:?}");
-        judge.take(request, answer);
+        checker.record(request, answer);
     }
-    judge.check(&basin.executions().await);
+    checker.check(&basin.executions().await);
 }
 
 /// Eight scale houses wait for receipts; each gets its own, within its deadline, and none is paid
@@ -91,11 +93,13 @@
     let basin = basin().await;
     let entry = &basin.entries[0];
     let first = Request::settlement("evening");
-    assert!(first.ask_until_final(entry).await.is_complete());
+    assert!(first.send_until_final(entry).await.is_complete());
     basin.backends[0].relay().silence_open().await;
 
     let requests = requests("morning", OPEN_REQUESTS);
-    let answers = requests.iter().map(|request| request.asking(entry));
+    let answers = requests
+        .iter()
+        .map(|request| request.send_in_background(entry));
     let answers = answers.collect::<Vec<_>>();
 
     all_complete(&basin, requests, answers).await;
@@ -107,7 +111,7 @@
 #[tokio::test]
 async fn an_idle_connection_went_silent_before_the_first_request() {
     let backend = BackendPlan::ledger(1).with_relay();
-    let basin = DeltaBasin::start(Plan::new([backend]).with_entries(1)).await;
+    let basin = DeltaBasin::start(BasinPlan::new([backend]).with_entries(1)).await;
     let relay = basin.backends[0].relay();
     wait_until("the entry compares trees with the sidecar", async || {
         relay.counts().await.to_client_bytes > 0
@@ -116,21 +120,21 @@
     relay.silence_open().await;
 
     let settlement = Request::settlement("first");
-    let answer = settlement.ask(&basin.entries[0]).await;
+    let answer = settlement.send(&basin.entries[0]).await;
 
     assert!(
         answer.as_ref().is_some_and(Answer::is_complete),
         "{answer:?}"
     );
-    let mut judge = Judge::default();
-    judge.take(&settlement, answer);
-    judge.check(&basin.executions().await);
+    let mut checker = AnswerChecker::default();
+    checker.record(&settlement, answer);
+    checker.check(&basin.executions().await);
 }
 
 /// A driver reads an assessment as it is written; it stops for a moment and goes on where it was,
 /// no word missing and none twice. The connection to the model engine's sidecar fails mid-stream.
 async fn a_stream_resumes_whole(fail: impl AsyncFnOnce(&BackendHost) -> u64) {
-    let basin = DeltaBasin::start(Plan::pipeline(20)).await;
+    let basin = DeltaBasin::start(BasinPlan::pipeline(20)).await;
     let assessment = Request::assessment("truck-7", STREAM_TOKENS);
     let mut stream = assessment.stream(&basin.entries[0]).await;
     stream.read_tokens(TOKENS_BEFORE).await;
@@ -142,7 +146,7 @@
     let end = end.expect("the stream has an end");
     assert_eq!(end["code"], 1000, "{end}");
     let expected: Vec<u64> = (0..u64::from(STREAM_TOKENS)).collect();
-    assert_eq!(stream.numbers(), expected);
+    assert_eq!(stream.token_numbers(), expected);
     assert!(stream.text().starts_with("[truck-7] "));
 }
 
--- a/crates/standins/tests/failure_edits.rs
+++ b/crates/standins/tests/failure_edits.rs
@@ -7,8 +7,8 @@
 use amaranthscale_standins::http::HttpReply;
 use serde_json::{Value, json};
 use support::{
-    BackendPlan, DRIVER_TRIAL_KEY, DeltaBasin, EntryProcess, Plan, Request, answer_of, freeze,
-    wait_until, wake,
+    BackendPlan, BasinPlan, DRIVER_TRIAL_KEY, DeltaBasin, EntryProcess, Request, await_answer,
+    pause, resume, wait_until,
 };
 
 /// Rounds of two operators against each other.
@@ -22,7 +22,7 @@
 
 /// Some entries and one host of the grower ledger.
 async fn basin(entries: u32) -> DeltaBasin {
-    DeltaBasin::start(Plan::new([BackendPlan::ledger(1)]).with_entries(entries)).await
+    DeltaBasin::start(BasinPlan::new([BackendPlan::ledger(1)]).with_entries(entries)).await
 }
 
 /// Sets the weight of a trial organisation.
@@ -95,20 +95,20 @@
 async fn the_platform_fails_right_after_an_edit() {
     let basin = basin(4).await;
     accepted(&basin.entries[0], 1, &suspend()).await;
-    basin.platform.outage(true).await;
+    basin.platform.set_outage(true).await;
 
     basin.wait_for_tree(2).await;
     for entry in &basin.entries {
-        let answer = drivers_request("suspended").ask(entry).await.unwrap();
+        let answer = drivers_request("suspended").send(entry).await.unwrap();
         assert_eq!((answer.code, answer.ran.as_str()), (2003, "no"));
     }
     basin.backends[0].wait_for_tree(2).await;
-    basin.platform.outage(false).await;
+    basin.platform.set_outage(false).await;
     let next = set_weight(9);
     accepted(&basin.entries[3], 2, &next).await;
 
     basin.wait_for_tree(3).await;
-    let answer = drivers_request("still").ask(&basin.entries[1]).await;
+    let answer = drivers_request("still").send(&basin.entries[1]).await;
     assert_eq!(answer.unwrap().code, 2003);
     assert!(basin.executions().await.is_empty());
 }
@@ -120,24 +120,26 @@
     let mut basin = basin(2).await;
     accepted(&basin.entries[0], 1, &suspend()).await;
     basin.wait_for_tree(2).await;
-    basin.platform.table_outage(true).await;
+    basin.platform.set_table_outage(true).await;
     for entry in &mut basin.entries {
-        freeze(&mut entry.process);
+        pause(&mut entry.process);
     }
-    freeze(&mut basin.backends[0].sidecar);
+    pause(&mut basin.backends[0].sidecar);
 
     let newcomer = basin.start_entry("newcomer");
     newcomer.wait_for_hosts(3).await;
     newcomer.wait_for_counter("tree.unanswered", 3).await;
     let was_ready = newcomer.is_ready().await;
-    let early = drivers_request("early").ask(&newcomer).await.unwrap();
+    let early = drivers_request("early").send(&newcomer).await.unwrap();
     for entry in &mut basin.entries {
-        wake(&mut entry.process);
+        resume(&mut entry.process);
     }
-    wake(&mut basin.backends[0].sidecar);
+    resume(&mut basin.backends[0].sidecar);
     newcomer.wait_for_tree(2).await;
-    let late = drivers_request("late").ask(&newcomer).await.unwrap();
-    let balance = Request::balance("balance").ask_until_final(&newcomer).await;
+    let late = drivers_request("late").send(&newcomer).await.unwrap();
+    let balance = Request::balance("balance")
+        .send_until_final(&newcomer)
+        .await;
 
     assert!(!was_ready);
     assert_eq!((early.code, early.ran.as_str()), (2208, "no"));
@@ -151,14 +153,14 @@
 async fn an_entry_starts_while_the_whole_platform_is_away() {
     let basin = basin(1).await;
     accepted(&basin.entries[0], 1, &suspend()).await;
-    basin.platform.outage(true).await;
+    basin.platform.set_outage(true).await;
 
     let newcomer = basin.start_entry("newcomer");
     newcomer.wait_for_counter("tree.unanswered", 3).await;
-    let early = drivers_request("early").ask(&newcomer).await.unwrap();
-    basin.platform.outage(false).await;
+    let early = drivers_request("early").send(&newcomer).await.unwrap();
+    basin.platform.set_outage(false).await;
     newcomer.wait_for_tree(2).await;
-    let late = drivers_request("late").ask(&newcomer).await.unwrap();
+    let late = drivers_request("late").send(&newcomer).await.unwrap();
 
     assert_eq!((early.code, early.ran.as_str()), (2208, "no"));
     assert_eq!(late.code, 2003);
@@ -170,24 +172,26 @@
 /// newest tree before it decides on any of them.
 #[tokio::test]
 async fn an_entry_frozen_across_an_edit() {
-    let plan = Plan::new([BackendPlan::ledger(1)]).with_entry_settings(QUICK_POLLS);
+    let plan = BasinPlan::new([BackendPlan::ledger(1)]).with_entry_settings(QUICK_POLLS);
     let mut basin = DeltaBasin::start(plan).await;
     let before = drivers_request("before")
-        .ask_until_final(&basin.entries[0])
+        .send_until_final(&basin.entries[0])
         .await;
-    freeze(&mut basin.entries[0].process);
+    pause(&mut basin.entries[0].process);
     accepted(&basin.entries[1], 1, &suspend()).await;
     let requests = (0..WAITING_REQUESTS).map(|number| drivers_request(&format!("wait-{number}")));
-    let asking: Vec<_> = requests.map(|one| one.asking(&basin.entries[0])).collect();
+    let asking: Vec<_> = requests
+        .map(|one| one.send_in_background(&basin.entries[0]))
+        .collect();
     tokio::time::sleep(FROZEN).await;
 
-    wake(&mut basin.entries[0].process);
+    resume(&mut basin.entries[0].process);
     let mut codes = Vec::new();
     for one in asking {
-        codes.push(answer_of(one).await.code);
+        codes.push(await_answer(one).await.code);
     }
     let after = drivers_request("after")
-        .ask_until_final(&basin.entries[0])
+        .send_until_final(&basin.entries[0])
         .await;
 
     assert!(before.is_complete(), "{before:?}");
@@ -204,12 +208,12 @@
 #[tokio::test]
 async fn edits_reach_whoever_was_frozen_through_many() {
     let mut basin = basin(2).await;
-    freeze(&mut basin.entries[1].process);
+    pause(&mut basin.entries[1].process);
     for version in 1..=ROUNDS {
         accepted(&basin.entries[0], version, &set_weight(version + 10)).await;
     }
 
-    wake(&mut basin.entries[1].process);
+    resume(&mut basin.entries[1].process);
 
     basin.wait_for_tree(ROUNDS + 1).await;
     basin.backends[0].wait_for_tree(ROUNDS + 1).await;
--- a/crates/standins/tests/failure_evacuation.rs
+++ b/crates/standins/tests/failure_evacuation.rs
@@ -4,7 +4,9 @@
 
 use amaranthscale_standins::http::HttpReply;
 use serde_json::{Value, json};
-use support::{BackendPlan, DeltaBasin, EntryProcess, Judge, Plan, Request, wait_until};
+use support::{
+    AnswerChecker, BackendPlan, BasinPlan, DeltaBasin, EntryProcess, Request, wait_until,
+};
 
 /// Settlements in each part of a test.
 const SETTLEMENTS: usize = 12;
@@ -13,7 +15,7 @@
 
 /// Two entries and two hosts of the grower ledger, the second in a zone of its own.
 async fn two_zones() -> DeltaBasin {
-    let plan = Plan::new([BackendPlan::ledger(1), BackendPlan::ledger(2)]);
+    let plan = BasinPlan::new([BackendPlan::ledger(1), BackendPlan::ledger(2)]);
     let basin = DeltaBasin::start(plan).await;
     let second = &basin.backends[1];
     let (host, service) = (second.host(), Some(second.service()));
@@ -62,19 +64,25 @@
 #[tokio::test]
 async fn an_evacuated_zone_gets_no_settlement() {
     let basin = two_zones().await;
-    let mut judge = Judge::default();
-    basin.settle(&mut judge, "before", SETTLEMENTS).await;
+    let mut checker = AnswerChecker::default();
+    basin
+        .make_settlements(&mut checker, "before", SETTLEMENTS)
+        .await;
 
     in_force(&basin, "evacuate_zone", SECOND_ZONE, true).await;
     let before = basin.backends[1].executions().await.len();
-    basin.settle(&mut judge, "meanwhile", SETTLEMENTS).await;
+    basin
+        .make_settlements(&mut checker, "meanwhile", SETTLEMENTS)
+        .await;
     assert_eq!(basin.backends[1].executions().await.len(), before);
 
     in_force(&basin, "take_back_zone", SECOND_ZONE, false).await;
     in_force(&basin, "evacuate_zone", "north-yard", true).await;
-    basin.settle(&mut judge, "after", SETTLEMENTS).await;
+    basin
+        .make_settlements(&mut checker, "after", SETTLEMENTS)
+        .await;
     assert!(basin.backends[1].executions().await.len() > before);
-    judge.check(&basin.executions().await);
+    checker.check(&basin.executions().await);
 }
 
 /// All zones of a service are evacuated: its calls are refused as not run, and told to come back.
@@ -85,7 +93,7 @@
     in_force(&basin, "evacuate_zone", "north-yard", true).await;
 
     let settlement = Request::settlement("refused");
-    let answer = settlement.ask(&basin.entries[0]).await.expect("an answer");
+    let answer = settlement.send(&basin.entries[0]).await.expect("an answer");
 
     assert_eq!(answer.code, 2108, "{answer:?}");
     assert!(basin.executions().await.is_empty());
--- a/crates/standins/tests/failure_pause.rs
+++ b/crates/standins/tests/failure_pause.rs
@@ -6,8 +6,8 @@
 
 use amaranthscale_standins::platform::PlatformFaults;
 use support::{
-    Answer, BackendPlan, DeltaBasin, Judge, Plan, Request, answer_of, freeze, settle, wait_until,
-    wake,
+    Answer, AnswerChecker, BackendPlan, BasinPlan, DeltaBasin, Request, await_answer, pause,
+    resume, run_round_trips, wait_until,
 };
 
 /// Deadline of a request that a frozen process lets pass.
@@ -20,13 +20,13 @@
 
 /// Two entries and one host of the grower ledger.
 async fn basin() -> DeltaBasin {
-    DeltaBasin::start(Plan::new([BackendPlan::ledger(1)])).await
+    DeltaBasin::start(BasinPlan::new([BackendPlan::ledger(1)])).await
 }
 
 /// Lets the first entry make the acquaintance of the sidecar, so that it dispatches at once.
 async fn warm_up(basin: &DeltaBasin) -> Request {
     let first = Request::settlement("warm-up");
-    let answer = first.ask_until_final(&basin.entries[0]).await;
+    let answer = first.send_until_final(&basin.entries[0]).await;
     assert!(answer.is_complete(), "{answer:?}");
     first
 }
@@ -36,7 +36,7 @@
     let entry = &basin.entries[0];
     entry.wait_for_counter("attempt.dispatched", 2).await;
     // It is counted just before it is sent.
-    settle(async || entry.status().await).await;
+    run_round_trips(async || entry.status().await).await;
 }
 
 /// A settlement is made at two entries, by a clerk who lost patience: it is paid once, and both
@@ -46,23 +46,23 @@
 async fn an_entry_frozen_after_it_read_the_claim() {
     let mut basin = basin().await;
     let settlement = Request::settlement("twice-asked");
-    freeze(&mut basin.backends[0].sidecar);
-    let first = settlement.asking(&basin.entries[0]);
+    pause(&mut basin.backends[0].sidecar);
+    let first = settlement.send_in_background(&basin.entries[0]);
     basin.entries[0].wait_for_counter("claim.read", 1).await;
 
-    freeze(&mut basin.entries[0].process);
-    wake(&mut basin.backends[0].sidecar);
-    let second = settlement.ask_until_final(&basin.entries[1]).await;
-    wake(&mut basin.entries[0].process);
-    let first = answer_of(first).await;
+    pause(&mut basin.entries[0].process);
+    resume(&mut basin.backends[0].sidecar);
+    let second = settlement.send_until_final(&basin.entries[1]).await;
+    resume(&mut basin.entries[0].process);
+    let first = await_answer(first).await;
 
     assert!(second.is_complete(), "{second:?}");
     assert!(first.is_complete(), "{first:?}");
     assert_eq!(first.body, second.body);
-    let mut judge = Judge::default();
-    judge.take(&settlement, Some(first));
-    judge.take(&settlement, Some(second));
-    judge.check(&basin.executions().await);
+    let mut checker = AnswerChecker::default();
+    checker.record(&settlement, Some(first));
+    checker.record(&settlement, Some(second));
+    checker.check(&basin.executions().await);
 }
 
 /// The same with the attempt already on its way: it waits at a frozen sidecar while its entry
@@ -72,24 +72,24 @@
     let mut basin = basin().await;
     let first_settlement = warm_up(&basin).await;
     let settlement = Request::settlement("twice-sent");
-    freeze(&mut basin.backends[0].sidecar);
-    let first = settlement.asking(&basin.entries[0]);
+    pause(&mut basin.backends[0].sidecar);
+    let first = settlement.send_in_background(&basin.entries[0]);
     wait_for_second_dispatch(&basin).await;
 
-    freeze(&mut basin.entries[0].process);
-    wake(&mut basin.backends[0].sidecar);
-    let second = settlement.ask_until_final(&basin.entries[1]).await;
-    wake(&mut basin.entries[0].process);
-    let first = answer_of(first).await;
+    pause(&mut basin.entries[0].process);
+    resume(&mut basin.backends[0].sidecar);
+    let second = settlement.send_until_final(&basin.entries[1]).await;
+    resume(&mut basin.entries[0].process);
+    let first = await_answer(first).await;
 
     assert!(second.is_complete(), "{second:?}");
     let executions = basin.executions().await;
     assert_eq!(executions.len(), 2);
-    let mut judge = Judge::default();
-    judge.take(&first_settlement, None);
-    judge.take(&settlement, Some(first));
-    judge.take(&settlement, Some(second));
-    judge.check(&executions);
+    let mut checker = AnswerChecker::default();
+    checker.record(&first_settlement, None);
+    checker.record(&settlement, Some(first));
+    checker.record(&settlement, Some(second));
+    checker.check(&executions);
 }
 
 /// The clerk gives up, and a settlement that nobody waits for any more must not be paid later.
@@ -99,13 +99,13 @@
     let mut basin = basin().await;
     warm_up(&basin).await;
     let request = request.with_deadline(SHORT_DEADLINE_MS);
-    freeze(&mut basin.backends[0].sidecar);
-    let first = request.asking(&basin.entries[0]);
+    pause(&mut basin.backends[0].sidecar);
+    let first = request.send_in_background(&basin.entries[0]);
     wait_for_second_dispatch(&basin).await;
-    freeze(&mut basin.entries[0].process);
+    pause(&mut basin.entries[0].process);
 
     tokio::time::sleep(PAST_DEADLINE).await;
-    wake(&mut basin.backends[0].sidecar);
+    resume(&mut basin.backends[0].sidecar);
     let backend = &basin.backends[0];
     wait_until("the late attempt is refused", async || {
         // The second, if the attempt was just past the ledger as the sidecar froze.
@@ -114,10 +114,10 @@
     })
     .await;
     let executed_late = basin.executions().await.len() - 1;
-    wake(&mut basin.entries[0].process);
-    let first = answer_of(first).await;
+    resume(&mut basin.entries[0].process);
+    let first = await_answer(first).await;
     let again = request.clone().with_deadline("20000");
-    let again = again.ask_until_final(&basin.entries[1]).await;
+    let again = again.send_until_final(&basin.entries[1]).await;
 
     assert_eq!(executed_late, 0);
     assert!(!first.is_complete(), "{first:?}");
@@ -145,29 +145,29 @@
 #[tokio::test]
 async fn a_sidecar_frozen_with_an_attempt_in_its_queue() {
     let backend = BackendPlan::ledger(1).with_one_slot();
-    let mut basin = DeltaBasin::start(Plan::new([backend])).await;
-    basin.backends[0].hold(true).await;
+    let mut basin = DeltaBasin::start(BasinPlan::new([backend])).await;
+    basin.backends[0].hold_calls(true).await;
     let held = Request::settlement("held");
-    let held_answer = held.asking(&basin.entries[0]);
+    let held_answer = held.send_in_background(&basin.entries[0]);
     basin.backends[0].wait_for_executions(1).await;
     let queued = Request::settlement("queued").with_deadline(SHORT_DEADLINE_MS);
-    let queued_answer = queued.asking(&basin.entries[0]);
+    let queued_answer = queued.send_in_background(&basin.entries[0]);
     basin.backends[0].wait_for_queued(1).await;
 
-    freeze(&mut basin.backends[0].sidecar);
-    basin.backends[0].hold(false).await;
+    pause(&mut basin.backends[0].sidecar);
+    basin.backends[0].hold_calls(false).await;
     tokio::time::sleep(PAST_DEADLINE).await;
-    wake(&mut basin.backends[0].sidecar);
+    resume(&mut basin.backends[0].sidecar);
     let queued_answer = queued_answer.await.unwrap();
     let held_answer = held_answer.await.unwrap();
     basin.backends[0].wait_for_queued(0).await;
     basin.backends[0].wait_for_unsettled(0).await;
 
     assert_eq!(queued_answer.as_ref().unwrap().ran, "no");
-    let mut judge = Judge::default();
-    judge.take(&held, held_answer);
-    judge.take(&queued, queued_answer);
-    judge.check(&basin.executions().await);
+    let mut checker = AnswerChecker::default();
+    checker.record(&held, held_answer);
+    checker.record(&queued, queued_answer);
+    checker.check(&basin.executions().await);
 }
 
 /// Freezes the sidecar after it claimed a settlement and before it made the call, and lets the
@@ -183,18 +183,18 @@
     let executed = basin.executions().await.len();
     let committed = basin.platform.counts().await.transactions_committed;
     // The platform answers half of this after the claim took effect: time to freeze the sidecar.
-    basin.platform.switch(slow(900)).await;
-    let answer = settlement.asking(&basin.entries[0]);
+    basin.platform.set_faults(slow(900)).await;
+    let answer = settlement.send_in_background(&basin.entries[0]);
     wait_until("the claim takes effect", async || {
         basin.platform.counts().await.transactions_committed > committed
     })
     .await;
-    freeze(&mut basin.backends[0].sidecar);
-    basin.platform.switch(slow(0)).await;
-    let answer = answer_of(answer).await;
+    pause(&mut basin.backends[0].sidecar);
+    basin.platform.set_faults(slow(0)).await;
+    let answer = await_answer(answer).await;
     let is_frozen_in_time = basin.executions().await.len() == executed;
     if !is_frozen_in_time {
-        wake(&mut basin.backends[0].sidecar);
+        resume(&mut basin.backends[0].sidecar);
     }
     is_frozen_in_time.then_some(answer)
 }
@@ -215,18 +215,18 @@
         };
         let before = basin.executions().await.len();
 
-        wake(&mut basin.backends[0].sidecar);
+        resume(&mut basin.backends[0].sidecar);
         basin.backends[0].wait_for_unsettled(0).await;
         let after = basin.executions().await.len();
-        let again = settlement.ask_until_final(&basin.entries[1]).await;
+        let again = settlement.send_until_final(&basin.entries[1]).await;
 
         assert!(!answer.is_complete(), "{answer:?}");
         assert_eq!(before, after, "the call was made late");
         assert!(again.is_complete(), "{again:?}");
-        let mut judge = Judge::default();
-        judge.take(&settlement, Some(answer));
-        judge.take(&settlement, Some(again));
-        judge.check(&basin.executions().await);
+        let mut checker = AnswerChecker::default();
+        checker.record(&settlement, Some(answer));
+        checker.record(&settlement, Some(again));
+        checker.check(&basin.executions().await);
         return;
     }
     panic!("the sidecar was never frozen in time");
--- a/crates/standins/tests/failure_platform.rs
+++ b/crates/standins/tests/failure_platform.rs
@@ -3,20 +3,27 @@
 mod support;
 
 use amaranthscale_standins::platform::PlatformFaults;
-use support::{Answer, BackendPlan, DeltaBasin, Judge, Plan, Request, answer_of, wait_until};
+use support::{
+    Answer, AnswerChecker, BackendPlan, BasinPlan, DeltaBasin, Request, await_answer, wait_until,
+};
 
 /// More lost transactions than any test makes.
 const ALL: u32 = 1_000;
 
 /// Two entries and one host of the grower ledger.
 async fn basin() -> DeltaBasin {
-    DeltaBasin::start(Plan::new([BackendPlan::ledger(1)])).await
+    DeltaBasin::start(BasinPlan::new([BackendPlan::ledger(1)])).await
 }
 
 /// Settles once, so that the next transactions belong to the settlement under test.
 async fn warm_up(basin: &DeltaBasin) -> usize {
     let first = Request::settlement("warm-up");
-    assert!(first.ask_until_final(&basin.entries[0]).await.is_complete());
+    assert!(
+        first
+            .send_until_final(&basin.entries[0])
+            .await
+            .is_complete()
+    );
     basin.backends[0].wait_for_unsettled(0).await;
     basin.executions().await.len()
 }
@@ -35,7 +42,7 @@
 async fn assert_repeatable_work_goes_on(basin: &DeltaBasin, marker: &str) {
     let balance = Request::balance(marker);
     for entry in &basin.entries {
-        let answer = balance.ask(entry).await.expect("the entry answers");
+        let answer = balance.send(entry).await.expect("the entry answers");
         assert!(answer.is_complete(), "{answer:?}");
         assert_eq!(answer.body_digest(), Some(balance.digest().as_str()));
     }
@@ -48,21 +55,21 @@
     let basin = basin().await;
     warm_up(&basin).await;
     let settlement = Request::settlement("before");
-    let mut judge = Judge::default();
+    let mut checker = AnswerChecker::default();
 
-    basin.platform.outage(true).await;
-    let refused = settlement.ask(&basin.entries[0]).await.unwrap();
+    basin.platform.set_outage(true).await;
+    let refused = settlement.send(&basin.entries[0]).await.unwrap();
     assert_repeatable_work_goes_on(&basin, "meanwhile").await;
     let executed_meanwhile = basin.executions().await;
-    basin.platform.outage(false).await;
-    let answer = settlement.ask_until_final(&basin.entries[1]).await;
+    basin.platform.set_outage(false).await;
+    let answer = settlement.send_until_final(&basin.entries[1]).await;
 
     assert_table_away(&refused);
-    judge.take(&settlement, Some(refused));
-    judge.check(&executed_meanwhile);
+    checker.record(&settlement, Some(refused));
+    checker.check(&executed_meanwhile);
     assert!(answer.is_complete(), "{answer:?}");
-    judge.take(&settlement, Some(answer));
-    judge.check(&basin.executions().await);
+    checker.record(&settlement, Some(answer));
+    checker.check(&basin.executions().await);
 }
 
 /// A clerk gets the receipt though the platform fails under the settlement. The outcome cannot be
@@ -72,25 +79,25 @@
 async fn an_outage_during_a_settlement() {
     let basin = basin().await;
     let settlement = Request::settlement("during");
-    basin.backends[0].hold(true).await;
-    let asking = settlement.asking(&basin.entries[0]);
+    basin.backends[0].hold_calls(true).await;
+    let asking = settlement.send_in_background(&basin.entries[0]);
     basin.backends[0].wait_for_executions(1).await;
 
-    basin.platform.outage(true).await;
-    basin.backends[0].hold(false).await;
-    let answer = answer_of(asking).await;
-    let meanwhile = settlement.ask(&basin.entries[1]).await.unwrap();
+    basin.platform.set_outage(true).await;
+    basin.backends[0].hold_calls(false).await;
+    let answer = await_answer(asking).await;
+    let meanwhile = settlement.send(&basin.entries[1]).await.unwrap();
     assert_repeatable_work_goes_on(&basin, "meanwhile").await;
-    basin.platform.outage(false).await;
+    basin.platform.set_outage(false).await;
     basin.backends[0].wait_for_unsettled(0).await;
-    let again = settlement.ask_until_final(&basin.entries[1]).await;
+    let again = settlement.send_until_final(&basin.entries[1]).await;
 
     assert!(answer.is_complete(), "{answer:?}");
     assert_table_away(&meanwhile);
     assert_eq!(again.body, answer.body);
-    let mut judge = Judge::default();
-    judge.take(&settlement, Some(answer));
-    judge.take(&settlement, Some(again));
+    let mut checker = AnswerChecker::default();
+    checker.record(&settlement, Some(answer));
+    checker.record(&settlement, Some(again));
     let executions = basin.executions().await;
     let settled = executions.iter().filter(|one| one.path == "settlements");
     assert_eq!(settled.count(), 1);
@@ -101,20 +108,20 @@
 async fn an_outage_after_a_settlement() {
     let basin = basin().await;
     let settlement = Request::settlement("after");
-    let answer = settlement.ask_until_final(&basin.entries[0]).await;
+    let answer = settlement.send_until_final(&basin.entries[0]).await;
     basin.backends[0].wait_for_unsettled(0).await;
 
-    basin.platform.outage(true).await;
-    let meanwhile = settlement.ask(&basin.entries[1]).await.unwrap();
-    basin.platform.outage(false).await;
-    let again = settlement.ask_until_final(&basin.entries[1]).await;
+    basin.platform.set_outage(true).await;
+    let meanwhile = settlement.send(&basin.entries[1]).await.unwrap();
+    basin.platform.set_outage(false).await;
+    let again = settlement.send_until_final(&basin.entries[1]).await;
 
     assert_table_away(&meanwhile);
     assert_eq!(again.body, answer.body);
-    let mut judge = Judge::default();
-    judge.take(&settlement, Some(answer));
-    judge.take(&settlement, Some(again));
-    judge.check(&basin.executions().await);
+    let mut checker = AnswerChecker::default();
+    checker.record(&settlement, Some(answer));
+    checker.record(&settlement, Some(again));
+    checker.check(&basin.executions().await);
 }
 
 /// The platform accepts calls and never answers: clerks are still refused as not run, in time, and
@@ -129,20 +136,20 @@
         ..PlatformFaults::default()
     };
 
-    basin.platform.switch(silent(true)).await;
-    let refused = settlement.ask(&basin.entries[0]).await.unwrap();
+    basin.platform.set_faults(silent(true)).await;
+    let refused = settlement.send(&basin.entries[0]).await.unwrap();
     assert_repeatable_work_goes_on(&basin, "meanwhile").await;
     let executed_meanwhile = basin.executions().await;
-    basin.platform.switch(silent(false)).await;
-    let answer = settlement.ask_until_final(&basin.entries[1]).await;
+    basin.platform.set_faults(silent(false)).await;
+    let answer = settlement.send_until_final(&basin.entries[1]).await;
 
     assert_table_away(&refused);
-    let mut judge = Judge::default();
-    judge.take(&settlement, Some(refused));
-    judge.check(&executed_meanwhile);
+    let mut checker = AnswerChecker::default();
+    checker.record(&settlement, Some(refused));
+    checker.check(&executed_meanwhile);
     assert!(answer.is_complete(), "{answer:?}");
-    judge.take(&settlement, Some(answer));
-    judge.check(&basin.executions().await);
+    checker.record(&settlement, Some(answer));
+    checker.check(&basin.executions().await);
 }
 
 /// A clerk notices nothing: the claim took effect, its answer was lost, and the sidecar finds its
@@ -157,18 +164,18 @@
         ..PlatformFaults::default()
     };
 
-    basin.platform.switch(lose).await;
-    let answer = settlement.ask(&basin.entries[0]).await.unwrap();
+    basin.platform.set_faults(lose).await;
+    let answer = settlement.send(&basin.entries[0]).await.unwrap();
     basin.backends[0].wait_for_unsettled(0).await;
-    let again = settlement.ask_until_final(&basin.entries[1]).await;
+    let again = settlement.send_until_final(&basin.entries[1]).await;
 
     assert!(answer.is_complete(), "{answer:?}");
     assert_eq!(again.body, answer.body);
     assert!(basin.platform.counts().await.lost >= 2);
-    let mut judge = Judge::default();
-    judge.take(&settlement, Some(answer));
-    judge.take(&settlement, Some(again));
-    judge.check(&basin.executions().await);
+    let mut checker = AnswerChecker::default();
+    checker.record(&settlement, Some(answer));
+    checker.record(&settlement, Some(again));
+    checker.check(&basin.executions().await);
 }
 
 /// A clerk notices nothing, and nothing is paid twice: the answer to the claim is lost and the claim
@@ -186,13 +193,13 @@
     };
 
     let conflicts = basin.platform.counts().await.conflicts;
-    basin.platform.switch(late).await;
-    let answer = settlement.ask(&basin.entries[0]).await.unwrap();
+    basin.platform.set_faults(late).await;
+    let answer = settlement.send(&basin.entries[0]).await.unwrap();
     wait_until("the late write meets the row", async || {
         basin.platform.counts().await.conflicts > conflicts
     })
     .await;
-    let again = settlement.ask_until_final(&basin.entries[1]).await;
+    let again = settlement.send_until_final(&basin.entries[1]).await;
 
     assert!(answer.is_complete(), "{answer:?}");
     assert_eq!(again.body, answer.body);
@@ -213,23 +220,23 @@
         ..PlatformFaults::default()
     };
 
-    basin.platform.switch(late(ALL)).await;
-    let refused = settlement.ask(&basin.entries[0]).await.unwrap();
+    basin.platform.set_faults(late(ALL)).await;
+    let refused = settlement.send(&basin.entries[0]).await.unwrap();
     let key = settlement.claim_key();
     wait_until("a write takes effect late", async || {
         basin.platform.row(&key).await.version.get() > 0
     })
     .await;
-    basin.platform.switch(late(0)).await;
+    basin.platform.set_faults(late(0)).await;
     basin.backends[0].wait_for_unsettled(0).await;
     let executed_meanwhile = basin.executions().await.len();
-    let answer = settlement.ask_until_final(&basin.entries[1]).await;
+    let answer = settlement.send_until_final(&basin.entries[1]).await;
 
     assert_table_away(&refused);
     assert_eq!(executed_meanwhile, executed);
     assert!(answer.is_complete(), "{answer:?}");
-    let mut judge = Judge::default();
-    judge.take(&settlement, Some(refused));
-    judge.take(&settlement, Some(answer));
-    judge.check(&basin.executions().await);
+    let mut checker = AnswerChecker::default();
+    checker.record(&settlement, Some(refused));
+    checker.record(&settlement, Some(answer));
+    checker.check(&basin.executions().await);
 }
--- a/crates/standins/tests/failure_random.rs
+++ b/crates/standins/tests/failure_random.rs
@@ -12,7 +12,9 @@
 use amaranthscale_standins::platform::PlatformFaults;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use support::{Answer, BackendPlan, DeltaBasin, Judge, Plan, Request, freeze, kill, wake};
+use support::{
+    Answer, AnswerChecker, BackendPlan, BasinPlan, DeltaBasin, Request, kill, pause, resume,
+};
 use tokio::task::JoinHandle;
 
 /// Failures in one run.
@@ -54,14 +56,14 @@
 impl Run {
     async fn start(seed: u64) -> Self {
         let backends = [1, 2].map(|number| BackendPlan::ledger(number).with_relay());
-        let basin = DeltaBasin::start(Plan::new(backends)).await;
+        let basin = DeltaBasin::start(BasinPlan::new(backends)).await;
         for backend in &basin.backends {
             let slow_factor = Some(SLOW_FACTOR);
             let slow = BackendFaults {
                 slow_factor,
                 ..BackendFaults::default()
             };
-            backend.switch(slow).await;
+            backend.set_faults(slow).await;
         }
         Self {
             basin,
@@ -78,7 +80,7 @@
         for number in 0..SETTLEMENTS_A_STEP {
             let settlement = Request::settlement(&format!("step-{step}-{number}"));
             let short = settlement.clone().with_deadline(DEADLINE_MS);
-            let ask = |entry| short.asking(entry);
+            let ask = |entry| short.send_in_background(entry);
             // Every second clerk loses patience and asks at both entries at once.
             let answers = if number % 2 == 0 {
                 self.basin.entries.iter().map(ask).collect()
@@ -92,7 +94,7 @@
         tokio::time::sleep(STEP).await;
         // An outage lasts for one step; a longer one would only have all settlements refused.
         if self.is_platform_away {
-            self.outage(false).await;
+            self.set_outage(false).await;
         }
         let failure = self.next_failure();
         self.fail(failure).await;
@@ -121,14 +123,14 @@
             Failure::CutConnections => {
                 self.basin.backends[1].relay().cut_open().await;
             }
-            Failure::Outage => self.outage(true).await,
+            Failure::Outage => self.set_outage(true).await,
             Failure::LostAnswers(count) => {
                 let lose_answers = Some(count);
                 let faults = PlatformFaults {
                     lose_answers,
                     ..PlatformFaults::default()
                 };
-                self.basin.platform.switch(faults).await;
+                self.basin.platform.set_faults(faults).await;
             }
             Failure::LateWrites(count) => self.late_writes(count).await,
             Failure::EntryFrozen(is_frozen) => self.freeze_entry(is_frozen),
@@ -141,8 +143,8 @@
         }
     }
 
-    async fn outage(&mut self, is_away: bool) {
-        self.basin.platform.outage(is_away).await;
+    async fn set_outage(&mut self, is_away: bool) {
+        self.basin.platform.set_outage(is_away).await;
         self.is_platform_away = is_away;
     }
 
@@ -152,15 +154,15 @@
             late_effect_ms: Some(2000),
             ..PlatformFaults::default()
         };
-        self.basin.platform.switch(faults).await;
+        self.basin.platform.set_faults(faults).await;
     }
 
     fn freeze_entry(&mut self, is_frozen: bool) {
         let process = &mut self.basin.entries[0].process;
         if is_frozen {
-            freeze(process);
+            pause(process);
         } else {
-            wake(process);
+            resume(process);
         }
         self.is_entry_frozen = is_frozen;
     }
@@ -168,9 +170,9 @@
     fn freeze_sidecar(&mut self, is_frozen: bool) {
         let process = &mut self.basin.backends[0].sidecar;
         if is_frozen {
-            freeze(process);
+            pause(process);
         } else {
-            wake(process);
+            resume(process);
         }
         self.is_sidecar_frozen = is_frozen;
     }
@@ -186,7 +188,7 @@
 
     /// Mends everything, and waits until each entry knows all hosts as they are now.
     async fn mend(&mut self) {
-        self.outage(false).await;
+        self.set_outage(false).await;
         self.late_writes(0).await;
         if self.is_entry_frozen {
             self.freeze_entry(false);
@@ -204,28 +206,28 @@
     /// Asks for each settlement until its answer is final, and judges all answers.
     ///
     /// What was refused as not run is left at that: it must never show up as executed.
-    async fn judge(mut self) {
-        let (mut judge, mut complete, mut not_run) = (Judge::default(), 0, 0);
+    async fn check_answers(mut self) {
+        let (mut checker, mut complete, mut not_run) = (AnswerChecker::default(), 0, 0);
         for (settlement, answers) in std::mem::take(&mut self.asked) {
             let mut is_not_run = true;
             for answer in answers {
                 let answer = answer.await.expect("the caller's task ends");
                 is_not_run &= answer.as_ref().is_some_and(|answer| answer.ran == "no");
-                judge.take(&settlement, answer);
+                checker.record(&settlement, answer);
             }
             if is_not_run {
                 not_run += 1;
                 continue;
             }
-            let last = settlement.ask_until_final(&self.basin.entries[0]).await;
+            let last = settlement.send_until_final(&self.basin.entries[0]).await;
             assert!(matches!(last.code, 1000 | 4001), "{settlement:?}: {last:?}");
             complete += usize::from(last.is_complete());
-            judge.take(&settlement, Some(last));
+            checker.record(&settlement, Some(last));
         }
         for backend in &self.basin.backends {
             backend.wait_for_unsettled(0).await;
         }
-        judge.check(&self.basin.executions().await);
+        checker.check(&self.basin.executions().await);
         println!("complete: {complete}, not run: {not_run}");
         assert!(complete > STEPS / 2, "settlements go through all the same");
     }
@@ -239,7 +241,7 @@
         run.step(step).await;
     }
     run.mend().await;
-    run.judge().await;
+    run.check_answers().await;
 }
 
 #[tokio::test]
--- a/crates/standins/tests/failure_settlement_kill.rs
+++ b/crates/standins/tests/failure_settlement_kill.rs
@@ -7,39 +7,42 @@
 mod support;
 
 use amaranthscale_standins::service::ServiceExecution;
-use support::{Answer, BackendPlan, DeltaBasin, Judge, Plan, Request, answer_of, kill, wait_until};
+use support::{
+    Answer, AnswerChecker, BackendPlan, BasinPlan, DeltaBasin, Request, await_answer, kill,
+    wait_until,
+};
 use tokio::task::JoinHandle;
 
 /// Two entries and one host of the grower ledger.
 async fn basin() -> DeltaBasin {
-    DeltaBasin::start(Plan::new([BackendPlan::ledger(1)])).await
+    DeltaBasin::start(BasinPlan::new([BackendPlan::ledger(1)])).await
 }
 
 /// The same, with a sidecar that takes one attempt at a time.
 async fn basin_with_one_slot() -> DeltaBasin {
     let backend = BackendPlan::ledger(1).with_one_slot();
-    DeltaBasin::start(Plan::new([backend])).await
+    DeltaBasin::start(BasinPlan::new([backend])).await
 }
 
 /// Two settlements on their way at the first entry: one that the backend server holds, and one
 /// that waits in the sidecar's queue, before its claim.
 async fn held_and_queued(basin: &DeltaBasin) -> [(Request, JoinHandle<Option<Answer>>); 2] {
     let (entry, backend) = (&basin.entries[0], &basin.backends[0]);
-    backend.hold(true).await;
+    backend.hold_calls(true).await;
     let held = Request::settlement("held");
-    let answer_of_held = held.asking(entry);
+    let answer_of_held = held.send_in_background(entry);
     backend.wait_for_executions(1).await;
     let queued = Request::settlement("queued");
-    let answer_of_queued = queued.asking(entry);
+    let answer_of_queued = queued.send_in_background(entry);
     backend.wait_for_queued(1).await;
     [(held, answer_of_held), (queued, answer_of_queued)]
 }
 
 /// A settlement that the backend server has begun for the first entry.
 async fn held(basin: &DeltaBasin) -> (Request, JoinHandle<Option<Answer>>) {
-    basin.backends[0].hold(true).await;
+    basin.backends[0].hold_calls(true).await;
     let settlement = Request::settlement("held");
-    let answer = settlement.asking(&basin.entries[0]);
+    let answer = settlement.send_in_background(&basin.entries[0]);
     basin.backends[0].wait_for_executions(1).await;
     (settlement, answer)
 }
@@ -47,9 +50,9 @@
 /// A settlement whose call is done, with the table away before its outcome is written.
 async fn done_and_unwritten(basin: &DeltaBasin) -> (Request, Answer) {
     let (settlement, answer) = held(basin).await;
-    basin.platform.outage(true).await;
-    basin.backends[0].hold(false).await;
-    let answer = answer_of(answer).await;
+    basin.platform.set_outage(true).await;
+    basin.backends[0].hold_calls(false).await;
+    let answer = await_answer(answer).await;
     basin.backends[0].wait_for_unsettled(1).await;
     (settlement, answer)
 }
@@ -70,18 +73,18 @@
     let [(held, held_answer), (queued, queued_answer)] = held_and_queued(&basin).await;
 
     kill(&mut basin.entries[0].process);
-    let again = queued.asking(&basin.entries[1]);
-    let held_again = held.asking(&basin.entries[1]);
-    basin.backends[0].hold(false).await;
+    let again = queued.send_in_background(&basin.entries[1]);
+    let held_again = held.send_in_background(&basin.entries[1]);
+    basin.backends[0].hold_calls(false).await;
 
-    let mut judge = Judge::default();
-    judge.take(&held, held_answer.await.unwrap());
-    judge.take(&queued, queued_answer.await.unwrap());
+    let mut checker = AnswerChecker::default();
+    checker.record(&held, held_answer.await.unwrap());
+    checker.record(&queued, queued_answer.await.unwrap());
     let (again, held_again) = (again.await.unwrap(), held_again.await.unwrap());
-    judge.take(&queued, again.clone());
-    judge.take(&held, held_again.clone());
+    checker.record(&queued, again.clone());
+    checker.record(&held, held_again.clone());
     let executions = basin.executions().await;
-    judge.check(&executions);
+    checker.check(&executions);
     assert!(again.unwrap().is_complete());
     assert!(held_again.unwrap().is_complete());
     assert_eq!(executions.len(), 2);
@@ -98,22 +101,22 @@
     kill(&mut basin.backends[0].sidecar);
     let held_answer = held_answer.await.unwrap();
     let queued_answer = queued_answer.await.unwrap();
-    basin.backends[0].hold(false).await;
+    basin.backends[0].hold_calls(false).await;
     basin.replace_sidecar(0).await;
-    let again = queued.ask_until_final(&basin.entries[1]).await;
-    let held_again = held.ask_until_final(&basin.entries[1]).await;
+    let again = queued.send_until_final(&basin.entries[1]).await;
+    let held_again = held.send_until_final(&basin.entries[1]).await;
 
     let executions = basin.executions().await;
     assert_eq!(queued_answer.as_ref().unwrap().ran, "no");
     assert_eq!(held_answer.as_ref().unwrap().code, 4001);
     assert_eq!(held_again.code, 4001);
     assert!(again.is_complete());
-    let mut judge = Judge::default();
-    judge.take(&held, held_answer);
-    judge.take(&held, Some(held_again));
-    judge.take(&queued, queued_answer);
-    judge.take(&queued, Some(again));
-    judge.check(&executions);
+    let mut checker = AnswerChecker::default();
+    checker.record(&held, held_answer);
+    checker.record(&held, Some(held_again));
+    checker.record(&queued, queued_answer);
+    checker.record(&queued, Some(again));
+    checker.check(&executions);
 }
 
 /// The clerk is told that the settlement did not run, settles again, and it is paid once.
@@ -126,11 +129,11 @@
     let before = basin.executions().await;
 
     kill(&mut basin.backends[0].backend);
-    let held_answer = answer_of(held_answer).await;
-    let queued_answer = answer_of(queued_answer).await;
+    let held_answer = await_answer(held_answer).await;
+    let queued_answer = await_answer(queued_answer).await;
     basin.backends[0].restart_backend();
-    let again = queued.ask_until_final(&basin.entries[1]).await;
-    let held_again = held.ask_until_final(&basin.entries[1]).await;
+    let again = queued.send_until_final(&basin.entries[1]).await;
+    let held_again = held.send_until_final(&basin.entries[1]).await;
 
     let after = basin.executions().await;
     assert_eq!(queued_answer.ran, "no");
@@ -150,17 +153,17 @@
     let (settlement, answer) = held(&basin).await;
 
     kill(&mut basin.entries[0].process);
-    let again = settlement.asking(&basin.entries[1]);
-    basin.backends[0].hold(false).await;
+    let again = settlement.send_in_background(&basin.entries[1]);
+    basin.backends[0].hold_calls(false).await;
 
     let again = again.await.unwrap();
     let answer = answer.await.unwrap();
     assert!(answer.is_none());
     assert!(again.as_ref().unwrap().is_complete());
-    let mut judge = Judge::default();
-    judge.take(&settlement, answer);
-    judge.take(&settlement, again);
-    judge.check(&basin.executions().await);
+    let mut checker = AnswerChecker::default();
+    checker.record(&settlement, answer);
+    checker.record(&settlement, again);
+    checker.check(&basin.executions().await);
 }
 
 /// The clerk is told that the outcome is unknown, and is told so again: the call is never repeated.
@@ -172,10 +175,10 @@
     let (settlement, answer) = held(&basin).await;
 
     kill(&mut basin.backends[0].sidecar);
-    let answer = answer_of(answer).await;
-    basin.backends[0].hold(false).await;
+    let answer = await_answer(answer).await;
+    basin.backends[0].hold_calls(false).await;
     basin.replace_sidecar(0).await;
-    let again = settlement.ask_until_final(&basin.entries[1]).await;
+    let again = settlement.send_until_final(&basin.entries[1]).await;
 
     assert_eq!((answer.code, answer.ran.as_str()), (4001, "unknown"));
     assert_eq!((again.code, again.ran.as_str()), (4001, "unknown"));
@@ -189,9 +192,9 @@
     let (settlement, answer) = held(&basin).await;
 
     kill(&mut basin.backends[0].backend);
-    let answer = answer_of(answer).await;
+    let answer = await_answer(answer).await;
     basin.backends[0].restart_backend();
-    let again = settlement.ask_until_final(&basin.entries[1]).await;
+    let again = settlement.send_until_final(&basin.entries[1]).await;
 
     assert_eq!((answer.code, answer.ran.as_str()), (4001, "unknown"));
     assert_eq!((again.code, again.ran.as_str()), (4001, "unknown"));
@@ -206,17 +209,17 @@
     let (settlement, answer) = done_and_unwritten(&basin).await;
 
     kill(&mut basin.entries[0].process);
-    let meanwhile = settlement.ask(&basin.entries[1]).await.unwrap();
-    basin.platform.outage(false).await;
-    let again = settlement.ask_until_final(&basin.entries[1]).await;
+    let meanwhile = settlement.send(&basin.entries[1]).await.unwrap();
+    basin.platform.set_outage(false).await;
+    let again = settlement.send_until_final(&basin.entries[1]).await;
 
     assert!(answer.is_complete());
     assert_eq!((meanwhile.code, meanwhile.ran.as_str()), (2206, "no"));
     assert_eq!(again.body, answer.body);
-    let mut judge = Judge::default();
-    judge.take(&settlement, Some(answer));
-    judge.take(&settlement, Some(again));
-    judge.check(&basin.executions().await);
+    let mut checker = AnswerChecker::default();
+    checker.record(&settlement, Some(answer));
+    checker.record(&settlement, Some(again));
+    checker.check(&basin.executions().await);
 }
 
 /// The clerk has the receipt, and the sidecar dies with the only other record of the outcome.
@@ -227,9 +230,9 @@
     let (settlement, answer) = done_and_unwritten(&basin).await;
 
     kill(&mut basin.backends[0].sidecar);
-    basin.platform.outage(false).await;
+    basin.platform.set_outage(false).await;
     basin.replace_sidecar(0).await;
-    let again = settlement.ask_until_final(&basin.entries[1]).await;
+    let again = settlement.send_until_final(&basin.entries[1]).await;
 
     assert!(answer.is_complete());
     assert_eq!((again.code, again.ran.as_str()), (4001, "unknown"));
@@ -245,9 +248,9 @@
 
     kill(&mut basin.backends[0].backend);
     basin.backends[0].restart_backend();
-    basin.platform.outage(false).await;
+    basin.platform.set_outage(false).await;
     basin.backends[0].wait_for_unsettled(0).await;
-    let again = settlement.ask_until_final(&basin.entries[1]).await;
+    let again = settlement.send_until_final(&basin.entries[1]).await;
 
     assert!(answer.is_complete());
     assert_eq!(again.body, answer.body);
@@ -261,9 +264,9 @@
     let (_held, _answer) = held(&basin).await;
 
     kill(&mut basin.entries[0].process);
-    basin.backends[0].hold(false).await;
+    basin.backends[0].hold_calls(false).await;
     let other = Request::settlement("other");
-    let answer = other.ask_until_final(&basin.entries[1]).await;
+    let answer = other.send_until_final(&basin.entries[1]).await;
 
     assert!(answer.is_complete());
     wait_until("both settlements are recorded", async || {
--- a/crates/standins/tests/hedge_slow_server.rs
+++ b/crates/standins/tests/hedge_slow_server.rs
@@ -14,7 +14,7 @@
 use amaranthscale_standins::http::HttpClient;
 use amaranthscale_standins::service::ServiceSettings;
 use serde_json::{Value, json};
-use support::{MILL_ACCOUNTS_KEY, switch, wait_until};
+use support::{MILL_ACCOUNTS_KEY, set_faults, wait_until};
 use tokio::task::JoinSet;
 
 /// Settings tree of Delta Basin, as its operators would import it.
@@ -86,7 +86,7 @@
         ..BackendFaults::default()
     };
     let url = format!("http://{server}/admin/faults");
-    switch(&HttpClient::new(), url, &faults).await;
+    set_faults(&HttpClient::new(), url, &faults).await;
 }
 
 async fn executions(engine: SocketAddr) -> Vec<EngineExecution> {
--- a/crates/standins/tests/orders_planner.rs
+++ b/crates/standins/tests/orders_planner.rs
@@ -15,7 +15,8 @@
 use amaranthscale_standins::http::{HttpClient, Running};
 use serde_json::Value;
 use support::{
-    OrdersBench, engine, host, model, pool, put_service, quick_planner, switch, tree, until,
+    OrdersFixture, compiled_tree, fast_planner_settings, host_id, model_id, poll_until,
+    put_service, service_id, set_faults, start_engine,
 };
 use tokio::sync::Semaphore;
 
@@ -25,21 +26,21 @@
 const RENEWALS: u64 = 3;
 
 /// Engines with their sidecars, listed as hosts.
-async fn engines(bench: &OrdersBench, count: u32) -> Vec<(Running, Sidecar)> {
+async fn engines(bench: &OrdersFixture, count: u32) -> Vec<(Running, Sidecar)> {
     let mut engines = Vec::new();
     for number in 0..count {
-        let engine = engine(true).await;
+        let engine = start_engine(true).await;
         let sidecar = bench.sidecar(number, &engine, LONG_SILENCE).await;
-        bench.list(number, sidecar.address()).await;
+        bench.add_host(number, sidecar.address()).await;
         engines.push((engine, sidecar));
     }
     engines
 }
 
 fn replicas(placement: &Placement, name: &str) -> Vec<u32> {
-    let model = model(name);
+    let model = model_id(name);
     let holds = |number: &u32| {
-        let assignment = placement.assignments.get(&host(*number));
+        let assignment = placement.assignments.get(&host_id(*number));
         assignment.is_some_and(|assignment| assignment.models.contains(&model))
     };
     (0..10).filter(holds).collect()
@@ -50,7 +51,7 @@
 fn believing_planner() -> PlannerSettings {
     PlannerSettings {
         lease_duration: LONG_SILENCE,
-        ..quick_planner()
+        ..fast_planner_settings()
     }
 }
 
@@ -90,78 +91,88 @@
     // decision and its write, another takes the lease over and has yet to write its plan, and the
     // first wakes up still believing in its lease and writes. Only the check of the lease row in
     // that transaction can stop it, as the placement row has not moved.
-    let bench = OrdersBench::start().await;
+    let bench = OrdersFixture::start().await;
     let _engines = engines(&bench, 1).await;
-    let settings = quick_planner();
+    let settings = fast_planner_settings();
     let (first_gate, gate) = HeldGate::new();
     let paused = bench
-        .planner("entry-1", tree(1, "old", 1), believing_planner(), gate)
+        .planner(
+            "entry-1",
+            compiled_tree(1, "old", 1),
+            believing_planner(),
+            gate,
+        )
         .await;
     first_gate.reached().await;
     let (second_gate, gate) = HeldGate::new();
     let successor = bench
-        .planner("entry-2", tree(2, "new", 1), settings, gate)
+        .planner("entry-2", compiled_tree(2, "new", 1), settings, gate)
         .await;
     second_gate.reached().await;
 
     first_gate.release();
-    until("the paused planner learns of it", async || {
-        paused.count("lease_lost") == 1
+    poll_until("the paused planner learns of it", async || {
+        paused.counter("lease_lost") == 1
     })
     .await;
     assert_eq!(bench.placement().await.0.version, RowVersion::default());
     second_gate.release();
-    until("the successor writes its plan", async || {
-        successor.count("placed") == 1
+    poll_until("the successor writes its plan", async || {
+        successor.counter("placed") == 1
     })
     .await;
-    let renewed = successor.count("lease_written");
-    until("the successor goes on", async || {
-        successor.count("lease_written") >= renewed + RENEWALS
+    let renewed = successor.counter("lease_written");
+    poll_until("the successor goes on", async || {
+        successor.counter("lease_written") >= renewed + RENEWALS
     })
     .await;
 
     let (row, placement) = bench.placement().await;
     assert_eq!(row.version, RowVersion::new(1));
     assert_eq!(replicas(&placement, "new"), [0]);
-    assert_eq!(paused.count("placed"), 0);
+    assert_eq!(paused.counter("placed"), 0);
     assert_eq!(paused.handle.status().fencing, None);
 }
 
 #[tokio::test]
 async fn a_paused_planner_does_not_overwrite_its_successor() {
     // The same, but the successor has written its plan before the first planner wakes up.
-    let bench = OrdersBench::start().await;
+    let bench = OrdersFixture::start().await;
     let _engines = engines(&bench, 1).await;
-    let settings = quick_planner();
+    let settings = fast_planner_settings();
     let (first_gate, gate) = HeldGate::new();
     let paused = bench
-        .planner("entry-1", tree(1, "old", 1), believing_planner(), gate)
+        .planner(
+            "entry-1",
+            compiled_tree(1, "old", 1),
+            believing_planner(),
+            gate,
+        )
         .await;
     first_gate.reached().await;
     let open = WriteGate::default();
     let successor = bench
-        .planner("entry-2", tree(2, "new", 1), settings, open)
+        .planner("entry-2", compiled_tree(2, "new", 1), settings, open)
         .await;
-    until("the successor writes its plan", async || {
-        successor.count("placed") == 1
+    poll_until("the successor writes its plan", async || {
+        successor.counter("placed") == 1
     })
     .await;
     let (before, _) = bench.placement().await;
 
     first_gate.release();
-    until("the paused planner learns of it", async || {
-        paused.count("overtaken") == 1
+    poll_until("the paused planner learns of it", async || {
+        paused.counter("overtaken") == 1
     })
     .await;
-    let renewed = successor.count("lease_written");
-    until("the successor goes on", async || {
-        successor.count("lease_written") >= renewed + RENEWALS
+    let renewed = successor.counter("lease_written");
+    poll_until("the successor goes on", async || {
+        successor.counter("lease_written") >= renewed + RENEWALS
     })
     .await;
 
     assert_eq!(bench.placement().await.0, before);
-    assert_eq!(paused.count("placed"), 0);
+    assert_eq!(paused.counter("placed"), 0);
     assert_eq!(paused.handle.status().fencing, None);
 }
 
@@ -169,11 +180,16 @@
 async fn a_planner_with_an_older_tree_undoes_nothing() {
     // An accepted edit is undone for seconds. The planner that had carried it out stops, and its
     // successor has not heard of the edit yet.
-    let bench = OrdersBench::start().await;
+    let bench = OrdersFixture::start().await;
     let _engines = engines(&bench, 1).await;
-    let (settings, open) = (quick_planner(), WriteGate::default());
+    let (settings, open) = (fast_planner_settings(), WriteGate::default());
     let first = bench
-        .planner("entry-1", tree(2, "new", 1), settings, open.clone())
+        .planner(
+            "entry-1",
+            compiled_tree(2, "new", 1),
+            settings,
+            open.clone(),
+        )
         .await;
     let mut statuses = first.handle.statuses();
     let placed = statuses.wait_for(|status| status.placement_version.get() > 0);
@@ -182,16 +198,18 @@
     first.handle.stop();
 
     let successor = bench
-        .planner("entry-2", tree(1, "old", 1), settings, open)
+        .planner("entry-2", compiled_tree(1, "old", 1), settings, open)
         .await;
-    until("the successor holds the lease", async || {
-        successor.count("tree_behind") >= RENEWALS
+    poll_until("the successor holds the lease", async || {
+        successor.counter("tree_behind") >= RENEWALS
     })
     .await;
     assert_eq!(bench.placement().await.0, before);
 
-    successor.tree.send_replace(Arc::new(tree(3, "newest", 1)));
-    until("the successor plans by the newer tree", async || {
+    successor
+        .tree
+        .send_replace(Arc::new(compiled_tree(3, "newest", 1)));
+    poll_until("the successor plans by the newer tree", async || {
         replicas(&bench.placement().await.1, "newest") == [0]
     })
     .await;
@@ -201,22 +219,22 @@
 async fn a_replica_is_replaced_when_its_host_leaves() {
     // A model has one replica too few after a host has left, and requests queue at the others. Nor
     // may the leaving engine be told to unload, as requests still run on it.
-    let bench = OrdersBench::start().await;
+    let bench = OrdersFixture::start().await;
     let engines = engines(&bench, 3).await;
-    let (settings, open) = (quick_planner(), WriteGate::default());
+    let (settings, open) = (fast_planner_settings(), WriteGate::default());
     let _planner = bench
-        .planner("entry-1", tree(1, "assay", 2), settings, open)
+        .planner("entry-1", compiled_tree(1, "assay", 2), settings, open)
         .await;
-    bench.until_loaded(&engines[0].0, &["assay"]).await;
-    bench.until_loaded(&engines[1].0, &["assay"]).await;
+    bench.wait_until_loaded(&engines[0].0, &["assay"]).await;
+    bench.wait_until_loaded(&engines[1].0, &["assay"]).await;
 
-    bench.leave(0).await;
-    bench.until_loaded(&engines[2].0, &["assay"]).await;
+    bench.mark_leaving(0).await;
+    bench.wait_until_loaded(&engines[2].0, &["assay"]).await;
 
     let (_, placement) = bench.placement().await;
     assert_eq!(replicas(&placement, "assay"), [1, 2]);
     let left = bench.orders(&engines[0].0).await;
-    assert_eq!(left.models, [model("assay")]);
+    assert_eq!(left.models, [model_id("assay")]);
     let is_unload = |order: &EngineOrder| matches!(order, EngineOrder::UnloadModel(_));
     assert!(!left.history.iter().any(|record| is_unload(&record.order)));
 }
@@ -225,20 +243,20 @@
 async fn engines_are_left_alone_once_no_model_is_wanted() {
     // An operator takes a service's models out of the tree to load them by hand, and its engines
     // unload each of them again. The last placement still names them.
-    let bench = OrdersBench::start().await;
+    let bench = OrdersFixture::start().await;
     let engines = engines(&bench, 1).await;
-    let (settings, open) = (quick_planner(), WriteGate::default());
-    let wanted = tree(1, "assay", 1);
+    let (settings, open) = (fast_planner_settings(), WriteGate::default());
+    let wanted = compiled_tree(1, "assay", 1);
     let none = wanted.tree().apply(&TreeEdit::PutService {
-        id: pool(),
+        id: service_id(),
         service: Service::repeatable(),
     });
     let none = CompiledTree::new(none.expect("the edit holds")).expect("the tree holds");
     let planner = bench.planner("entry-1", wanted, settings, open).await;
-    bench.until_loaded(&engines[0].0, &["assay"]).await;
+    bench.wait_until_loaded(&engines[0].0, &["assay"]).await;
 
     planner.tree.send_replace(Arc::new(none));
-    until("the placement names no engine", async || {
+    poll_until("the placement names no engine", async || {
         let (row, placement) = bench.placement().await;
         row.version > RowVersion::new(1) && placement.assignments.is_empty()
     })
@@ -246,14 +264,14 @@
     let (row, _) = bench.placement().await;
     let http = HttpClient::http2();
     let url = format!("http://{}/status", engines[0].1.address());
-    until("the sidecar goes by it", async || {
+    poll_until("the sidecar goes by it", async || {
         let status: Value = http.get_json(&url).await.expect("the sidecar answers");
         status["engine"]["placement_version"] == row.version.get()
     })
     .await;
 
     let orders = bench.orders(&engines[0].0).await;
-    assert_eq!(orders.models, [model("assay")]);
+    assert_eq!(orders.models, [model_id("assay")]);
     assert_eq!(orders.history.len(), 1);
 }
 
@@ -261,32 +279,32 @@
 async fn the_pace_of_the_weight_store_is_kept() {
     // After an edit no engine serves the new model for minutes. All load it at once, and the weight
     // store limits them all.
-    let bench = OrdersBench::start().await;
+    let bench = OrdersFixture::start().await;
     let engines = engines(&bench, 4).await;
     let frozen = |frozen| BackendFaults {
         frozen: Some(frozen),
         ..BackendFaults::default()
     };
     for (engine, _) in &engines {
-        switch(&bench.client, engine.url("/admin/faults"), &frozen(true)).await;
+        set_faults(&bench.client, engine.url("/admin/faults"), &frozen(true)).await;
     }
     let settings = PlannerSettings {
         limits: PlanLimits { loads_per_store: 1 },
-        ..quick_planner()
+        ..fast_planner_settings()
     };
     let open = WriteGate::default();
     let planner = bench
-        .planner("entry-1", tree(1, "assay", 4), settings, open)
+        .planner("entry-1", compiled_tree(1, "assay", 4), settings, open)
         .await;
 
     for loaded in 0..4 {
-        until("one more replica is placed", async || {
+        poll_until("one more replica is placed", async || {
             replicas(&bench.placement().await.1, "assay").len() > loaded
         })
         .await;
-        let renewed = planner.count("lease_written");
-        until("the planner has had time for another", async || {
-            planner.count("lease_written") > renewed
+        let renewed = planner.counter("lease_written");
+        poll_until("the planner has had time for another", async || {
+            planner.counter("lease_written") > renewed
         })
         .await;
         let placed = replicas(&bench.placement().await.1, "assay");
@@ -294,7 +312,7 @@
         for number in placed {
             let index = usize::try_from(number).expect("engines are few");
             let faults = engines[index].0.url("/admin/faults");
-            switch(&bench.client, faults, &frozen(false)).await;
+            set_faults(&bench.client, faults, &frozen(false)).await;
         }
     }
     let status = planner.handle.status();
@@ -305,10 +323,10 @@
 async fn an_edit_of_the_tree_reaches_the_engines() {
     // An operator wants a model on two engines and sees nothing happen. Some link between the
     // edit, the planner, the placement, the sidecars and the engines is missing.
-    let bench = OrdersBench::start().await;
+    let bench = OrdersFixture::start().await;
     let engines = engines(&bench, 2).await;
     let config = EntryConfig {
-        planner: quick_planner(),
+        planner: fast_planner_settings(),
         host_poll_interval: Duration::from_millis(20),
         ..EntryConfig::new(
             "entry-1".parse().expect("a valid name"),
@@ -329,12 +347,12 @@
         EditResult::Accepted(_)
     ));
     for (engine, _) in &engines {
-        bench.until_loaded(engine, &["assay"]).await;
+        bench.wait_until_loaded(engine, &["assay"]).await;
     }
 
     let http = HttpClient::new();
     let url = format!("http://{}/status", entry.address());
-    until("the status shows the loads as done", async || {
+    poll_until("the status shows the loads as done", async || {
         let status: Value = http.get_json(&url).await.expect("the entry answers");
         let planner = &status["planner"];
         planner["fencing"].is_number()
--- a/crates/standins/tests/standin_engine.rs
+++ b/crates/standins/tests/standin_engine.rs
@@ -12,7 +12,7 @@
 use amaranthscale_standins::http::{HttpClient, HttpError, HttpReply, Running};
 use hyper::{Method, StatusCode};
 use serde_json::{Value, json};
-use support::{HeldClock, eventually, joined, settle, switch};
+use support::{ManualClock, eventually, join_task, run_round_trips, set_faults};
 use tokio::task::JoinHandle;
 
 /// Time of a token where a test needs sequences that do not end by themselves.
@@ -31,8 +31,8 @@
         }
     }
 
-    async fn switch(&self, faults: BackendFaults) {
-        switch(&self.client, self.engine.url("/admin/faults"), &faults).await;
+    async fn set_faults(&self, faults: BackendFaults) {
+        set_faults(&self.client, self.engine.url("/admin/faults"), &faults).await;
     }
 
     async fn run(&self, call: EngineCall) -> Result<HttpReply, HttpError> {
@@ -218,7 +218,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn who_waits_goes_by_priority_and_then_by_arrival() {
-    let _clock = HeldClock::hold();
+    let _clock = ManualClock::install();
     let fixture = Fixture::start(endless_settings()).await;
     let running = fixture.spawn_run(generation("first", 1));
     fixture.until_running(1).await;
@@ -250,7 +250,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn sequences_that_run_together_slow_each_other() {
-    let clock = HeldClock::hold();
+    let clock = ManualClock::install();
     let settings = EngineSettings {
         slots: 2,
         token_ms: 100,
@@ -318,7 +318,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn cache_events_come_late_and_with_gaps() {
-    let clock = HeldClock::hold();
+    let clock = ManualClock::install();
     let settings = EngineSettings {
         cache_event_lag_ms: 60_000,
         cache_event_gap_every: 2,
@@ -341,7 +341,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn the_load_report_lags() {
-    let clock = HeldClock::hold();
+    let clock = ManualClock::install();
     let settings = EngineSettings {
         load_lag_ms: 60_000,
         ..endless_settings()
@@ -366,7 +366,7 @@
 async fn a_dropped_answer_cancels_its_sequence() {
     // A caller goes away while its answer is generated.
     // The engine must not keep the slot for an answer that nobody reads.
-    let _clock = HeldClock::hold();
+    let _clock = ManualClock::install();
     let fixture = Fixture::start(endless_settings()).await;
     let url = fixture.engine.url("/run/generation");
     let headers = [("x-call-id", "c1")];
@@ -386,7 +386,7 @@
 async fn a_caller_who_gives_up_loses_its_place() {
     // A caller goes away while its call waits for a slot.
     // The call must not start later, when nobody wants its answer any more.
-    let _clock = HeldClock::hold();
+    let _clock = ManualClock::install();
     let fixture = Fixture::start(endless_settings()).await;
     let running = fixture.spawn_run(generation("first", 1));
     fixture.until_running(1).await;
@@ -407,7 +407,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_cancelled_call_that_waits_never_starts() {
-    let _clock = HeldClock::hold();
+    let _clock = ManualClock::install();
     let fixture = Fixture::start(endless_settings()).await;
     let running = fixture.spawn_run(generation("first", 1));
     fixture.until_running(1).await;
@@ -426,7 +426,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_cancelled_stream_breaks_off() {
-    let clock = HeldClock::hold();
+    let clock = ManualClock::install();
     let fixture = Fixture::start(endless_settings()).await;
     let url = fixture.engine.url("/run/");
     let call =
@@ -450,7 +450,7 @@
         break_mid_stream: Some(1),
         ..BackendFaults::default()
     };
-    fixture.switch(faults).await;
+    fixture.set_faults(faults).await;
 
     let broken = fixture.run(generation("c1", 6)).await;
     let whole = fixture.run(generation("c1", 6)).await.unwrap();
@@ -468,7 +468,7 @@
         fail_next: Some(1),
         ..BackendFaults::default()
     };
-    fixture.switch(faults).await;
+    fixture.set_faults(faults).await;
 
     let failed = fixture.run(generation("c1", 1)).await.unwrap();
     let next = fixture.run(generation("c2", 1)).await.unwrap();
@@ -487,15 +487,15 @@
         frozen: Some(frozen),
         ..BackendFaults::default()
     };
-    fixture.switch(frozen(true)).await;
+    fixture.set_faults(frozen(true)).await;
 
     let call = fixture.spawn_run(generation("c1", 1));
-    settle(async || fixture.executions().await).await;
+    run_round_trips(async || fixture.executions().await).await;
     let while_frozen = fixture.executions().await;
-    fixture.switch(frozen(false)).await;
+    fixture.set_faults(frozen(false)).await;
 
     assert_eq!(while_frozen, []);
-    assert_eq!(lines(&joined(call).await.unwrap()).len(), 2);
+    assert_eq!(lines(&join_task(call).await.unwrap()).len(), 2);
 }
 
 #[tokio::test(start_paused = true)]
@@ -509,7 +509,7 @@
         slow_factor: Some(20.0),
         ..BackendFaults::default()
     };
-    fixture.switch(faults).await;
+    fixture.set_faults(faults).await;
 
     fixture.run(generation("c1", 4)).await.unwrap();
 
--- a/crates/standins/tests/standin_platform.rs
+++ b/crates/standins/tests/standin_platform.rs
@@ -17,7 +17,7 @@
 };
 use hyper::StatusCode;
 use quickcheck::quickcheck;
-use support::{HeldClock, eventually, settle, switch};
+use support::{ManualClock, eventually, run_round_trips, set_faults};
 use tokio::time::Instant;
 
 struct Fixture {
@@ -33,8 +33,8 @@
         }
     }
 
-    async fn switch(&self, faults: PlatformFaults) {
-        switch(&self.client, self.platform.url("/admin/faults"), &faults).await;
+    async fn set_faults(&self, faults: PlatformFaults) {
+        set_faults(&self.client, self.platform.url("/admin/faults"), &faults).await;
     }
 
     async fn write(&self, key: &str, version: u64, value: &str) -> Result<HttpReply, HttpError> {
@@ -169,9 +169,9 @@
         ..PlatformFaults::default()
     };
 
-    fixture.switch(outage(true)).await;
+    fixture.set_faults(outage(true)).await;
     let during = fixture.read_status().await;
-    fixture.switch(outage(false)).await;
+    fixture.set_faults(outage(false)).await;
 
     assert_eq!(during, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(fixture.read_status().await, StatusCode::OK);
@@ -187,14 +187,14 @@
         silent: Some(silent),
         ..PlatformFaults::default()
     };
-    fixture.switch(silent(true)).await;
+    fixture.set_faults(silent(true)).await;
 
     let body = serde_json::to_vec(&write("k", 0, "x")).unwrap();
     let url = fixture.platform.url("/table/transaction");
     let call = tokio::spawn(async move { HttpClient::new().post(url, &[], body).await });
-    settle(async || fixture.counts().await).await;
-    fixture.switch(silent(false)).await;
-    settle(async || fixture.counts().await).await;
+    run_round_trips(async || fixture.counts().await).await;
+    fixture.set_faults(silent(false)).await;
+    run_round_trips(async || fixture.counts().await).await;
 
     assert!(!call.is_finished());
     assert_eq!(fixture.row("k").await.version.get(), 0);
@@ -226,7 +226,7 @@
         lose_answers: Some(1),
         ..PlatformFaults::default()
     };
-    fixture.switch(faults).await;
+    fixture.set_faults(faults).await;
 
     let lost = fixture.write("k", 0, "x").await;
     let answered = fixture.write("k", 1, "y").await.unwrap();
@@ -242,9 +242,9 @@
     // A process writes a claim, gets no answer, and reads the row back: unchanged.
     // It takes the write for failed, but later the row changes after all.
     // The write was still on its way inside the platform.
-    let clock = HeldClock::hold();
+    let clock = ManualClock::install();
     let fixture = Fixture::start(PlatformSettings::default()).await;
-    fixture.switch(late_effects(1)).await;
+    fixture.set_faults(late_effects(1)).await;
 
     let lost = fixture.write("k", 0, "x").await;
     let read_back = fixture.row("k").await.version.get();
@@ -262,9 +262,9 @@
 async fn a_late_effect_is_checked_when_it_comes() {
     // A process writes a claim and gets no answer; it cancels the claim, and the cancel wins.
     // The first write arrives later, finds its version gone, and changes nothing.
-    let clock = HeldClock::hold();
+    let clock = ManualClock::install();
     let fixture = Fixture::start(PlatformSettings::default()).await;
-    fixture.switch(late_effects(1)).await;
+    fixture.set_faults(late_effects(1)).await;
 
     let lost = fixture.write("k", 0, "late").await;
     fixture.write("k", 0, "cancelled").await.unwrap();
@@ -291,7 +291,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn calls_above_the_rate_are_refused_until_the_next_second() {
-    let clock = HeldClock::hold();
+    let clock = ManualClock::install();
     let settings = PlatformSettings {
         reads_per_second: 2,
         writes_per_second: 1,
@@ -322,7 +322,7 @@
 async fn the_host_list_lags() {
     // A host is about to leave, but for a while the list still shows it as live.
     // Whoever relies on the list alone sends it new work meanwhile.
-    let clock = HeldClock::hold();
+    let clock = ManualClock::install();
     let settings = PlatformSettings {
         host_list_lag_ms: 5_000,
         ..PlatformSettings::default()
--- a/crates/standins/tests/standin_processes.rs
+++ b/crates/standins/tests/standin_processes.rs
@@ -7,7 +7,9 @@
 use amaranthscale_standins::http::HttpClient;
 use hyper::StatusCode;
 use serde_json::{Value, json};
-use support::{ChildProcess, call_headers, joined, settle, sibling_program, switch};
+use support::{
+    ChildProcess, call_headers, join_task, run_round_trips, set_faults, sibling_program,
+};
 
 const PLATFORM: &str = env!("CARGO_BIN_EXE_standin-platform");
 const ENGINE: &str = env!("CARGO_BIN_EXE_standin-engine");
@@ -55,12 +57,12 @@
     let call =
         tokio::spawn(async move { HttpClient::new().post(url, &call_headers("c1"), "{}").await });
     let other = platform.url("/hosts");
-    settle(async || client.get(&other).await.unwrap()).await;
+    run_round_trips(async || client.get(&other).await.unwrap()).await;
     let answered_while_paused = call.is_finished();
     service.resume().unwrap();
 
     assert!(!answered_while_paused);
-    assert_eq!(joined(call).await.unwrap().status, StatusCode::OK);
+    assert_eq!(join_task(call).await.unwrap().status, StatusCode::OK);
 }
 
 #[tokio::test]
@@ -83,7 +85,7 @@
     let client = HttpClient::new();
 
     let faults = json!({"delay_ms": 1});
-    switch(&client, format!("http://{admin}/admin/faults"), &faults).await;
+    set_faults(&client, format!("http://{admin}/admin/faults"), &faults).await;
     let reply = client
         .post(relay.url("/settle"), &call_headers("c1"), "{}")
         .await;
--- a/crates/standins/tests/standin_relay.rs
+++ b/crates/standins/tests/standin_relay.rs
@@ -10,7 +10,7 @@
 use amaranthscale_standins::relay::{Relay, RelayCounts, RelayFaults, RelaySettings, RunningRelay};
 use amaranthscale_standins::service::{Service, ServiceExecution, ServiceSettings};
 use hyper::StatusCode;
-use support::{call_headers, joined, settle, switch};
+use support::{call_headers, join_task, run_round_trips, set_faults};
 use tokio::time::Instant;
 
 struct Fixture {
@@ -38,9 +38,9 @@
         }
     }
 
-    async fn switch(&self, faults: RelayFaults) {
+    async fn set_faults(&self, faults: RelayFaults) {
         let url = self.relay.admin_url("/admin/faults");
-        switch(&self.beside_relay, url, &faults).await;
+        set_faults(&self.beside_relay, url, &faults).await;
     }
 
     async fn counts(&self) -> RelayCounts {
@@ -82,12 +82,12 @@
         silence_open: Some(true),
         ..RelayFaults::default()
     };
-    fixture.switch(faults).await;
+    fixture.set_faults(faults).await;
 
     let url = fixture.relay.url("/settle");
     let client = fixture.through_relay.clone();
     let silent = tokio::spawn(async move { client.post(url, &call_headers("c2"), "{}").await });
-    settle(async || fixture.counts().await).await;
+    run_round_trips(async || fixture.counts().await).await;
     let renewed = fixture.call(&HttpClient::new(), "c3").await.unwrap();
 
     assert_eq!(renewed.status, StatusCode::OK);
@@ -111,15 +111,15 @@
         cut_open: Some(true),
         ..RelayFaults::default()
     };
-    fixture.switch(silence).await;
+    fixture.set_faults(silence).await;
     let url = fixture.relay.url("/settle");
     let client = fixture.through_relay.clone();
     let silent = tokio::spawn(async move { client.post(url, &call_headers("c2"), "{}").await });
-    settle(async || fixture.counts().await).await;
+    run_round_trips(async || fixture.counts().await).await;
 
-    fixture.switch(cut).await;
+    fixture.set_faults(cut).await;
 
-    let ended = joined(silent).await;
+    let ended = join_task(silent).await;
     assert!(matches!(ended, Err(HttpError::NoAnswer(_))), "{ended:?}");
     assert_eq!(fixture.counts().await.cut, 1);
     assert_eq!(fixture.executions().await.len(), 1);
@@ -132,7 +132,7 @@
         delay_ms: Some(30_000),
         ..RelayFaults::default()
     };
-    fixture.switch(faults).await;
+    fixture.set_faults(faults).await;
     let started = Instant::now();
 
     fixture.call(&fixture.through_relay, "c1").await.unwrap();
@@ -147,10 +147,10 @@
         refuse_new: Some(refuse),
         ..RelayFaults::default()
     };
-    fixture.switch(refuse(true)).await;
+    fixture.set_faults(refuse(true)).await;
 
     let refused = fixture.call(&fixture.through_relay, "c1").await;
-    fixture.switch(refuse(false)).await;
+    fixture.set_faults(refuse(false)).await;
     let taken = fixture.call(&fixture.through_relay, "c2").await.unwrap();
 
     assert!(
--- a/crates/standins/tests/standin_service.rs
+++ b/crates/standins/tests/standin_service.rs
@@ -9,7 +9,7 @@
 use amaranthscale_standins::service::{Service, ServiceExecution, ServiceSettings};
 use hyper::StatusCode;
 use serde_json::Value;
-use support::{call_headers, eventually, joined, settle, switch};
+use support::{call_headers, eventually, join_task, run_round_trips, set_faults};
 use tokio::task::JoinHandle;
 
 struct Fixture {
@@ -30,8 +30,8 @@
         }
     }
 
-    async fn switch(&self, faults: BackendFaults) {
-        switch(&self.client, self.service.url("/admin/faults"), &faults).await;
+    async fn set_faults(&self, faults: BackendFaults) {
+        set_faults(&self.client, self.service.url("/admin/faults"), &faults).await;
     }
 
     async fn call(&self, call_id: &str) -> Result<HttpReply, HttpError> {
@@ -90,19 +90,19 @@
         hold: Some(hold),
         ..BackendFaults::default()
     };
-    fixture.switch(hold(true)).await;
+    fixture.set_faults(hold(true)).await;
 
     let call = fixture.spawn_call("c1");
     eventually("the execution", async || {
         fixture.executions().await.len() == 1
     })
     .await;
-    settle(async || fixture.executions().await).await;
+    run_round_trips(async || fixture.executions().await).await;
     let answered_while_held = call.is_finished();
-    fixture.switch(hold(false)).await;
+    fixture.set_faults(hold(false)).await;
 
     assert!(!answered_while_held);
-    assert_eq!(joined(call).await.unwrap().status, StatusCode::OK);
+    assert_eq!(join_task(call).await.unwrap().status, StatusCode::OK);
 }
 
 #[tokio::test]
@@ -112,15 +112,15 @@
         frozen: Some(frozen),
         ..BackendFaults::default()
     };
-    fixture.switch(frozen(true)).await;
+    fixture.set_faults(frozen(true)).await;
 
     let call = fixture.spawn_call("c1");
-    settle(async || fixture.executions().await).await;
+    run_round_trips(async || fixture.executions().await).await;
     let while_frozen = fixture.executions().await;
-    fixture.switch(frozen(false)).await;
+    fixture.set_faults(frozen(false)).await;
 
     assert_eq!(while_frozen, []);
-    assert_eq!(joined(call).await.unwrap().status, StatusCode::OK);
+    assert_eq!(join_task(call).await.unwrap().status, StatusCode::OK);
 }
 
 #[tokio::test]
@@ -130,7 +130,7 @@
         fail_next: Some(1),
         ..BackendFaults::default()
     };
-    fixture.switch(faults).await;
+    fixture.set_faults(faults).await;
 
     let failed = fixture.call("c1").await.unwrap();
     let next = fixture.call("c2").await.unwrap();
@@ -149,7 +149,7 @@
         break_mid_stream: Some(1),
         ..BackendFaults::default()
     };
-    fixture.switch(faults).await;
+    fixture.set_faults(faults).await;
 
     let broken = fixture.call("c1").await;
 
--- a/crates/standins/tests/support/backend_host.rs
+++ b/crates/standins/tests/support/backend_host.rs
@@ -1,4 +1,4 @@
-//! A backend server with its sidecar, each a process.
+//! A backend server and its sidecar as child processes.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,22 +10,22 @@
 use serde_json::Value;
 
 use super::settings_file::start_daemon;
-use super::{ChildProcess, RelayProcess, switch, wait_until};
+use super::{ChildProcess, RelayProcess, set_faults, wait_until};
 
-/// What a host of a backend server consists of.
+/// Configuration of a host with a backend server.
 #[derive(Debug, Clone)]
 pub struct BackendPlan {
     /// Name of the host.
     pub host: String,
     /// Service of the backend server.
     pub service: &'static str,
-    /// Attempts that it takes at once.
+    /// Maximum number of concurrent attempts.
     pub slots: u32,
-    /// Whether a relay stands between entries and the sidecar.
+    /// Whether entries reach the sidecar through a relay.
     pub has_relay: bool,
-    /// Longest graceful stop of the sidecar.
+    /// Maximum duration of the sidecar's graceful stop.
     pub drain_ms: u64,
-    /// Time of an engine's token; none for a plain service.
+    /// Time that an engine takes per token; `None` for a plain service.
     pub token_ms: Option<u64>,
 }
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A host of a stage, served by a model engine.
+    /// A host of a pipeline stage, served by a model engine.
     pub fn engine(service: &'static str, token_ms: u64) -> Self {
         Self {
             host: format!("{service}-1"),
@@ -57,14 +57,14 @@
         Self { slots: 1, ..self }
     }
 
-    /// The same host with a relay before its sidecar.
+    /// The same host with a relay in front of its sidecar.
     pub fn with_relay(self) -> Self {
         let has_relay = true;
         Self { has_relay, ..self }
     }
 }
 
-/// A backend server with its sidecar, each a process.
+/// A backend server and its sidecar as child processes.
 #[derive(Debug)]
 pub struct BackendHost {
     /// The backend server's process.
@@ -78,11 +78,11 @@
 }
 
 impl BackendHost {
-    /// Starts a backend server, its sidecar, and a relay if it is asked for.
-    pub fn start(folder: &Path, plan: BackendPlan, platform: SocketAddr) -> Self {
+    /// Starts a backend server, its sidecar, and a relay if the plan has one.
+    pub fn start(settings_dir: &Path, plan: BackendPlan, platform: SocketAddr) -> Self {
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let backend = start_backend(&plan, any_port);
-        let sidecar = start_sidecar(folder, &plan, backend.address(), platform);
+        let sidecar = start_sidecar(settings_dir, &plan, backend.address(), platform);
         let relay = plan
             .has_relay
             .then(|| RelayProcess::start(sidecar.address()));
@@ -112,97 +112,97 @@
         relayed.unwrap_or_else(|| self.sidecar.address())
     }
 
-    /// The relay before the sidecar.
+    /// The relay in front of the sidecar.
     pub fn relay(&self) -> &RelayProcess {
-        self.relay.as_ref().expect("a relay was planned")
+        self.relay.as_ref().expect("the plan has a relay")
     }
 
-    /// Replaces a backend server that has ended, at the same address.
+    /// Restarts a backend server that has exited, at the same address.
     pub fn restart_backend(&mut self) {
         self.backend = start_backend(&self.plan, self.backend.address());
     }
 
-    /// Replaces a sidecar that has ended; it listens at another address.
-    pub fn restart_sidecar(&mut self, folder: &Path) {
+    /// Restarts a sidecar that has exited; the new one listens at another address.
+    pub fn restart_sidecar(&mut self, settings_dir: &Path) {
         let backend = self.backend.address();
-        self.sidecar = start_sidecar(folder, &self.plan, backend, self.platform);
+        self.sidecar = start_sidecar(settings_dir, &self.plan, backend, self.platform);
     }
 
-    /// Switches faults of the backend server.
-    pub async fn switch(&self, faults: BackendFaults) {
-        switch(&self.http, self.backend.url("/admin/faults"), &faults).await;
+    /// Sets faults of the backend server.
+    pub async fn set_faults(&self, faults: BackendFaults) {
+        set_faults(&self.http, self.backend.url("/admin/faults"), &faults).await;
     }
 
-    /// Holds calls that have started, or lets them go.
-    pub async fn hold(&self, is_held: bool) {
+    /// Blocks calls that have started, or releases them.
+    pub async fn hold_calls(&self, is_held: bool) {
         let hold = Some(is_held);
-        self.switch(BackendFaults {
+        self.set_faults(BackendFaults {
             hold,
             ..BackendFaults::default()
         })
         .await;
     }
 
-    /// What the plain service has executed.
+    /// Executions of the plain service.
     pub async fn executions(&self) -> Vec<ServiceExecution> {
         let url = self.backend.url("/executions");
         let executions = HttpClient::new().get_json(url).await;
-        executions.expect("a service tells what it has executed")
+        executions.expect("a service reports its executions")
     }
 
-    /// What the engine has executed.
+    /// Executions of the engine.
     pub async fn engine_executions(&self) -> Vec<EngineExecution> {
         let url = self.backend.url("/executions");
         let executions = HttpClient::new().get_json(url).await;
-        executions.expect("an engine tells what it has executed")
+        executions.expect("an engine reports its executions")
     }
 
-    /// Waits until the plain service has begun so many executions.
+    /// Waits until the plain service has begun at least `count` executions.
     pub async fn wait_for_executions(&self, count: usize) {
-        let awaited = format!("{} executes {count} calls", self.host());
-        wait_until(&awaited, async || self.executions().await.len() >= count).await;
+        let condition = format!("{} executes {count} calls", self.host());
+        wait_until(&condition, async || self.executions().await.len() >= count).await;
     }
 
-    /// What the sidecar tells of itself.
+    /// The sidecar's `/status`.
     pub async fn status(&self) -> Value {
         let url = self.sidecar.url("/status");
         let status = HttpClient::new().get_json(url).await;
-        status.expect("a sidecar tells its status")
+        status.expect("a sidecar reports its status")
     }
 
-    /// A counter of the sidecar, 0 if it never counted.
+    /// A counter of the sidecar; 0 if it was never incremented.
     pub async fn counter(&self, name: &str) -> u64 {
         self.status().await["counters"][name].as_u64().unwrap_or(0)
     }
 
-    /// Waits until a counter of the sidecar has reached a number.
-    pub async fn wait_for_counter(&self, name: &str, least: u64) {
-        let awaited = format!("{} counts {least} of {name}", self.host());
-        wait_until(&awaited, async || self.counter(name).await >= least).await;
+    /// Waits until a counter of the sidecar is at least `minimum`.
+    pub async fn wait_for_counter(&self, name: &str, minimum: u64) {
+        let condition = format!("{} counts at least {minimum} of {name}", self.host());
+        wait_until(&condition, async || self.counter(name).await >= minimum).await;
     }
 
-    /// Waits until the sidecar has at least a version of the tree.
+    /// Waits until the sidecar has at least this version of the settings tree.
     pub async fn wait_for_tree(&self, version: u64) {
-        let awaited = format!("{} has version {version}", self.host());
-        wait_until(&awaited, async || {
+        let condition = format!("{} has version {version} of the tree", self.host());
+        wait_until(&condition, async || {
             self.status().await["tree_version"].as_u64() >= Some(version)
         })
         .await;
     }
 
-    /// Waits until so many attempts wait at the sidecar.
+    /// Waits until exactly `count` attempts are queued at the sidecar.
     pub async fn wait_for_queued(&self, count: u64) {
-        let awaited = format!("{count} attempts wait at {}", self.host());
-        wait_until(&awaited, async || {
+        let condition = format!("{count} attempts are queued at {}", self.host());
+        wait_until(&condition, async || {
             self.status().await["gate"]["queued"].as_u64() == Some(count)
         })
         .await;
     }
 
-    /// Waits until the rows of so many calls are still to be written.
+    /// Waits until the claim rows of exactly `count` calls have yet to be written.
     pub async fn wait_for_unsettled(&self, count: u64) {
-        let awaited = format!("{count} claims are unsettled at {}", self.host());
-        wait_until(&awaited, async || {
+        let condition = format!("{count} claims are unsettled at {}", self.host());
+        wait_until(&condition, async || {
             self.status().await["unsettled_claims"].as_u64() == Some(count)
         })
         .await;
@@ -226,7 +226,7 @@
 }
 
 fn start_sidecar(
-    folder: &Path,
+    settings_dir: &Path,
     plan: &BackendPlan,
     backend: SocketAddr,
     platform: SocketAddr,
@@ -244,5 +244,5 @@
          [queue]\nslots = {slots}\npaid_reserve_slots = 0\n\
          [drain]\ndrain_ms = {drain_ms}\n[log]\nlevel = error\n"
     );
-    start_daemon("amaranth-sidecar", folder, host, &settings)
+    start_daemon("amaranth-sidecar", settings_dir, host, &settings)
 }
--- a/crates/standins/tests/support/child_process.rs
+++ b/crates/standins/tests/support/child_process.rs
@@ -1,4 +1,4 @@
-//! Programs that a test starts, signals and ends.
+//! Child processes that a test starts, signals and stops.
 
 use std::env;
 use std::ffi::OsStr;
@@ -14,12 +14,12 @@
 use nix::sys::wait::{WaitPidFlag, WaitStatus, waitpid};
 use nix::unistd::Pid;
 
-/// Bound on the wait for a line or an exit; generous, since tests share a busy machine.
-const WAIT_LIMIT: Duration = Duration::from_mins(1);
-/// Start of the line that tells where a program listens.
+/// Timeout of the wait for a line or an exit; long, as tests may run on a busy host.
+const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
+/// Prefix of the line with the address at which a program listens.
 const LISTENING: &str = "listening ";
 
-/// A program that this test started; killed when dropped.
+/// A child process of the test; killed when dropped.
 #[derive(Debug)]
 pub struct ChildProcess {
     child: Child,
@@ -38,7 +38,7 @@
         Self::start_command(command)
     }
 
-    /// Starts a command, for instance with an environment of its own, and waits like [`Self::start`].
+    /// Starts a command, for instance with its own environment, and waits like [`Self::start`].
     pub fn start_command(mut command: Command) -> io::Result<Self> {
         command.stdin(Stdio::null()).stdout(Stdio::piped());
         let mut child = command.spawn()?;
@@ -46,7 +46,7 @@
         let (sender, lines) = channel();
         thread::spawn(move || forward_lines(stdout, &sender));
         let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
-        // Built before the wait, so that a program that never gets ready is killed as well.
+        // Built before the wait, so that a program that never becomes ready is killed on drop.
         let mut process = Self {
             child,
             lines,
@@ -61,63 +61,63 @@
         self.address
     }
 
-    /// URL of a path on it.
+    /// URL of a path at the process's address.
     pub fn url(&self, path: impl AsRef<str>) -> String {
         format!("http://{}{}", self.address, path.as_ref())
     }
 
-    /// Id of the process.
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Waits for a line that begins with `prefix` and ends with an address.
+    /// Waits for a line that consists of `prefix` and an address.
     pub fn wait_for_address(&self, prefix: &str) -> io::Result<SocketAddr> {
         let rest = self.wait_for_line(prefix)?;
         rest.trim().parse().map_err(io::Error::other)
     }
 
-    /// Waits for a line that begins with `prefix`; tells the rest of it.
+    /// Waits for a line that begins with `prefix` and returns the rest of it.
     pub fn wait_for_line(&self, prefix: &str) -> io::Result<String> {
         loop {
-            let line = self.lines.recv_timeout(WAIT_LIMIT);
-            let line = line.map_err(|error| no_line(prefix, error))?;
+            let line = self.lines.recv_timeout(WAIT_TIMEOUT);
+            let line = line.map_err(|error| missing_line(prefix, error))?;
             if let Some(rest) = line.strip_prefix(prefix) {
                 return Ok(rest.to_owned());
             }
         }
     }
 
-    /// Kills it (SIGKILL), as a host that vanishes would, and waits for its end.
+    /// Kills the process (SIGKILL), as if its host had failed, and waits for its exit.
     pub fn kill(&mut self) -> io::Result<ExitStatus> {
         self.child.kill()?;
         self.child.wait()
     }
 
-    /// Freezes it (SIGSTOP), and waits until it stands still: the signal takes its time.
+    /// Pauses the process (SIGSTOP) and waits until it has stopped, as the signal is asynchronous.
     pub fn pause(&mut self) -> io::Result<()> {
         self.signal(Signal::SIGSTOP)?;
         match waitpid(self.pid()?, Some(WaitPidFlag::WUNTRACED))? {
             WaitStatus::Stopped(..) => Ok(()),
-            other => Err(io::Error::other(format!("not frozen: {other:?}"))),
+            other => Err(io::Error::other(format!("not paused: {other:?}"))),
         }
     }
 
-    /// Lets it go on (SIGCONT).
+    /// Resumes the process (SIGCONT).
     pub fn resume(&mut self) -> io::Result<()> {
         self.signal(Signal::SIGCONT)
     }
 
-    /// Asks it to end in good order (SIGTERM).
+    /// Requests a graceful stop (SIGTERM).
     pub fn terminate(&mut self) -> io::Result<()> {
         self.signal(Signal::SIGTERM)
     }
 
-    /// Waits for its end; an error after a generous bound.
+    /// Waits for its exit; fails after one minute.
     pub fn wait(&mut self) -> io::Result<ExitStatus> {
-        // Its standard output closes as it ends, so the wait is on an event.
+        // The process's standard output closes when it exits, so no polling is needed.
         loop {
-            match self.lines.recv_timeout(WAIT_LIMIT) {
+            match self.lines.recv_timeout(WAIT_TIMEOUT) {
                 Ok(_) => {}
                 Err(RecvTimeoutError::Disconnected) => return self.child.wait(),
                 Err(RecvTimeoutError::Timeout) => return Err(io::ErrorKind::TimedOut.into()),
@@ -125,10 +125,12 @@
         }
     }
 
-    /// Signals it, unless it has ended: its id may by then belong to another process.
+    /// Signals the process unless it has exited: its id may then belong to another process.
     fn signal(&mut self, signal: Signal) -> io::Result<()> {
         if let Some(status) = self.child.try_wait()? {
-            return Err(io::Error::other(format!("ended before {signal}: {status}")));
+            return Err(io::Error::other(format!(
+                "exited before {signal}: {status}"
+            )));
         }
         Ok(kill(self.pid()?, signal)?)
     }
@@ -141,7 +143,7 @@
 
 impl Drop for ChildProcess {
     fn drop(&mut self) {
-        // Fails only if it has ended already, which is what is wanted.
+        // Fails only if the process has already exited.
         let _ = self.kill();
     }
 }
@@ -149,30 +151,30 @@
 /// Path of a program of another package, built beside this test.
 pub fn sibling_program(name: &str) -> io::Result<PathBuf> {
     let test = env::current_exe()?;
-    // Tests lie in `target/<profile>/deps`, programs one folder above.
-    let folder = test.parent().and_then(Path::parent);
-    let program = folder.ok_or(io::ErrorKind::NotFound)?.join(name);
+    // Test binaries are in `target/<profile>/deps`, programs one directory above.
+    let directory = test.parent().and_then(Path::parent);
+    let program = directory.ok_or(io::ErrorKind::NotFound)?.join(name);
     if program.is_file() {
         return Ok(program);
     }
-    let told = format!(
+    let message = format!(
         "{} is missing: run `cargo build --workspace --bins` first",
         program.display()
     );
-    Err(io::Error::new(io::ErrorKind::NotFound, told))
+    Err(io::Error::new(io::ErrorKind::NotFound, message))
 }
 
 fn forward_lines(stdout: ChildStdout, lines: &Sender<String>) {
     for line in BufReader::new(stdout).lines().map_while(Result::ok) {
-        // The test may be over; the program's output is still drained, lest it block.
+        // The receiver may be gone; the output is still drained so that the program does not block.
         let _ = lines.send(line);
     }
 }
 
-fn no_line(prefix: &str, error: RecvTimeoutError) -> io::Error {
-    let told = match error {
-        RecvTimeoutError::Timeout => "did not come in time",
-        RecvTimeoutError::Disconnected => "did not come before the program's end",
+fn missing_line(prefix: &str, error: RecvTimeoutError) -> io::Error {
+    let reason = match error {
+        RecvTimeoutError::Timeout => "was not printed in time",
+        RecvTimeoutError::Disconnected => "was not printed before the program's end",
     };
-    io::Error::other(format!("line {prefix:?} {told}"))
+    io::Error::other(format!("line {prefix:?} {reason}"))
 }
--- a/crates/standins/tests/support/delta_basin.rs
+++ b/crates/standins/tests/support/delta_basin.rs
@@ -1,4 +1,5 @@
-//! Delta Basin in small: platform, backend servers with sidecars, and entries, all processes.
+//! A small Delta Basin deployment: platform, backend servers with sidecars, and entries, each a
+//! child process.
 
 use std::path::Path;
 
@@ -6,24 +7,24 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-use super::{BackendHost, BackendPlan, EntryProcess, Judge, PlatformProcess, Request};
+use super::{AnswerChecker, BackendHost, BackendPlan, EntryProcess, PlatformProcess, Request};
 
-/// The settings tree that Delta Basin starts with.
+/// Initial settings tree of Delta Basin.
 const TREE: &str = include_str!("../../../../examples/delta-basin/tree.json");
 
-/// What a small Delta Basin consists of.
+/// Configuration of a small Delta Basin.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct BasinPlan {
     /// Number of entries.
     pub entries: u32,
     /// Hosts of backend servers.
     pub backends: Vec<BackendPlan>,
-    /// Further settings of entries, in INI.
+    /// Additional settings of entries, in INI format.
     pub entry_settings: &'static str,
 }
 
-impl Plan {
-    /// Two entries before some hosts of backend servers.
+impl BasinPlan {
+    /// Two entries in front of the given hosts of backend servers.
     pub fn new(backends: impl Into<Vec<BackendPlan>>) -> Self {
         Self {
             entries: 2,
@@ -32,7 +33,7 @@
         }
     }
 
-    /// All four stages of the pipeline, the last with a relay before its sidecar.
+    /// All four stages of the pipeline; the last stage has a relay in front of its sidecar.
     pub fn pipeline(token_ms: u64) -> Self {
         let stage = |service| BackendPlan::engine(service, token_ms);
         Self::new([
@@ -43,12 +44,12 @@
         ])
     }
 
-    /// The same with another number of entries.
+    /// The same plan with another number of entries.
     pub fn with_entries(self, entries: u32) -> Self {
         Self { entries, ..self }
     }
 
-    /// The same with further settings of entries.
+    /// The same plan with additional settings of entries.
     pub fn with_entry_settings(self, entry_settings: &'static str) -> Self {
         Self {
             entry_settings,
@@ -57,7 +58,7 @@
     }
 }
 
-/// Delta Basin in small; all its processes end with it.
+/// A small Delta Basin; its processes are killed when it is dropped.
 #[derive(Debug)]
 pub struct DeltaBasin {
     /// The platform.
@@ -66,18 +67,18 @@
     pub entries: Vec<EntryProcess>,
     /// The hosts of backend servers.
     pub backends: Vec<BackendHost>,
-    folder: TempDir,
-    plan: Plan,
+    settings_dir: TempDir,
+    plan: BasinPlan,
 }
 
 impl DeltaBasin {
-    /// Starts all processes and waits until every entry is ready by the tree and knows all hosts.
-    pub async fn start(plan: Plan) -> Self {
+    /// Starts all processes and waits until every entry has the settings tree and all hosts.
+    pub async fn start(plan: BasinPlan) -> Self {
         let mut basin = Self {
             platform: PlatformProcess::start(),
             entries: Vec::new(),
             backends: Vec::new(),
-            folder: TempDir::new().expect("a folder for settings"),
+            settings_dir: TempDir::new().expect("a directory for settings"),
             plan,
         };
         for number in 0..basin.plan.entries {
@@ -91,12 +92,12 @@
         basin
     }
 
-    /// Folder of the settings files.
-    pub fn folder(&self) -> &Path {
-        self.folder.path()
+    /// Directory of the settings files.
+    pub fn settings_dir(&self) -> &Path {
+        self.settings_dir.path()
     }
 
-    /// Starts an entry and puts it into the host list.
+    /// Starts an entry and adds it to the host list.
     pub async fn add_entry(&mut self, host: &str) {
         let entry = self.start_entry(host);
         let address = entry.peer_address();
@@ -104,33 +105,38 @@
         self.entries.push(entry);
     }
 
-    /// Starts an entry that the host list does not show yet.
+    /// Starts an entry that is not in the host list.
     pub fn start_entry(&self, host: &str) -> EntryProcess {
-        let more = self.plan.entry_settings;
-        EntryProcess::start(self.folder(), host, self.platform.address(), more)
+        let extra_settings = self.plan.entry_settings;
+        EntryProcess::start(
+            self.settings_dir(),
+            host,
+            self.platform.address(),
+            extra_settings,
+        )
     }
 
-    /// Replaces a sidecar that has ended, and waits until all entries know its new address.
+    /// Restarts a sidecar that has exited and publishes its new address in the host list.
     pub async fn replace_sidecar(&mut self, number: usize) {
-        let (folder, platform) = (self.folder.path(), &self.platform);
+        let (settings_dir, platform) = (self.settings_dir.path(), &self.platform);
         let backend = &mut self.backends[number];
-        backend.restart_sidecar(folder);
+        backend.restart_sidecar(settings_dir);
         let (host, service) = (backend.host(), Some(backend.service()));
         platform.put_host(host, backend.address(), service).await;
     }
 
-    /// Makes so many settlements at the entries in turn, one after the other; all must be complete.
-    pub async fn settle(&self, judge: &mut Judge, marker: &str, count: usize) {
+    /// Makes `count` settlements, one after the other, at each entry in turn; all must complete.
+    pub async fn make_settlements(&self, checker: &mut AnswerChecker, marker: &str, count: usize) {
         for number in 0..count {
             let settlement = Request::settlement(&format!("{marker}-{number}"));
             let entry = &self.entries[number % self.entries.len()];
-            let answer = settlement.ask_until_final(entry).await;
+            let answer = settlement.send_until_final(entry).await;
             assert!(answer.is_complete(), "{answer:?}");
-            judge.take(&settlement, Some(answer));
+            checker.record(&settlement, Some(answer));
         }
     }
 
-    /// What all plain services have executed.
+    /// Executions of all plain services.
     pub async fn executions(&self) -> Vec<ServiceExecution> {
         let mut executions = Vec::new();
         for backend in &self.backends {
@@ -139,7 +145,7 @@
         executions
     }
 
-    /// Waits until all entries have at least a version of the tree in force.
+    /// Waits until at least this version of the settings tree is in force at all entries.
     pub async fn wait_for_tree(&self, version: u64) {
         for entry in &self.entries {
             entry.wait_for_tree(version).await;
@@ -147,7 +153,7 @@
     }
 
     async fn add_backend(&mut self, plan: BackendPlan) {
-        let backend = BackendHost::start(self.folder(), plan, self.platform.address());
+        let backend = BackendHost::start(self.settings_dir(), plan, self.platform.address());
         let (host, service) = (backend.host(), Some(backend.service()));
         self.platform
             .put_host(host, backend.address(), service)
--- a/crates/standins/tests/support/orders_bench.rs
+++ b/crates/standins/tests/support/orders_fixture.rs
@@ -1,4 +1,4 @@
-//! Engines with their sidecars and planners, around one platform stand-in.
+//! Engines with their sidecars, and planners, that share one stand-in platform.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,38 +26,38 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Time between two looks of planners and sidecars; short, as tests wait for many of them.
-const POLL: Duration = Duration::from_millis(20);
-/// Lease of the planners of a test.
-const LEASE: Duration = Duration::from_millis(300);
-/// Bound on each wait; generous, since tests share a busy machine.
-const WAIT_LIMIT: Duration = Duration::from_mins(1);
-/// Pause between two checks of an awaited event.
-const CHECK_PAUSE: Duration = Duration::from_millis(5);
+/// Poll interval of planners and sidecars; short, as tests wait for many polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Lease duration of the planners.
+const LEASE_DURATION: Duration = Duration::from_millis(300);
+/// Timeout of each wait; long, as tests may run on a busy host.
+const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
+/// Delay between two checks of a condition.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A platform, and what tests ask it.
-pub struct OrdersBench {
+/// A platform, with clients of its table and its HTTP interface.
+pub struct OrdersFixture {
     pub platform: Running,
     pub table: PlatformClient,
     pub client: HttpClient,
 }
 
-/// A planner, and what it goes by.
-pub struct BenchPlanner {
+/// A planner, its counters and its settings tree.
+pub struct TestPlanner {
     pub handle: PlannerHandle,
     pub counters: Arc<Counters>,
     pub tree: watch::Sender<Arc<CompiledTree>>,
     _is_tree_ready: watch::Sender<bool>,
 }
 
-impl OrdersBench {
+impl OrdersFixture {
     pub async fn start() -> Self {
-        let unbounded = PlatformSettings {
+        let unlimited = PlatformSettings {
             reads_per_second: u32::MAX,
             writes_per_second: u32::MAX,
             ..PlatformSettings::default()
         };
-        let platform = Platform::start(unbounded).await.unwrap();
+        let platform = Platform::start(unlimited).await.unwrap();
         let table = PlatformClient::new(platform.address(), PlatformClientLimits::default());
         Self {
             platform,
@@ -66,19 +66,19 @@
         }
     }
 
-    /// A sidecar before an engine, looking often.
+    /// Starts a sidecar of an engine, with a short poll interval.
     pub async fn sidecar(&self, number: u32, engine: &Running, order_timeout: Duration) -> Sidecar {
         let config = SidecarConfig {
-            host: host(number),
-            service: pool(),
+            host: host_id(number),
+            service: service_id(),
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
             backend: engine.address(),
             platform: self.platform.address(),
             statsd: None,
             orders: Some(OrderSettings {
-                poll_interval: POLL,
+                poll_interval: POLL_INTERVAL,
                 order_timeout,
-                refusal_retry_delay: POLL,
+                refusal_retry_delay: POLL_INTERVAL,
                 ..OrderSettings::default()
             }),
             limits: SidecarLimits::default(),
@@ -87,17 +87,17 @@
         started.unwrap()
     }
 
-    /// A planner that goes by a tree of its own and the platform's host list.
+    /// Starts a planner that uses the given tree and the platform's host list.
     pub async fn planner(
         &self,
         name: &str,
         tree: CompiledTree,
         settings: PlannerSettings,
         before_write: WriteGate,
-    ) -> BenchPlanner {
-        let (known_hosts, hosts) = watch::channel(None);
-        let polling = poll_hosts(self.table.clone(), POLL, move |hosts: HostList| {
-            known_hosts.send_replace(Some(Arc::new(hosts)));
+    ) -> TestPlanner {
+        let (hosts_sender, hosts) = watch::channel(None);
+        let polling = poll_hosts(self.table.clone(), POLL_INTERVAL, move |hosts: HostList| {
+            hosts_sender.send_replace(Some(Arc::new(hosts)));
         });
         tokio::spawn(polling);
         let (is_tree_ready, ready) = watch::channel(true);
@@ -115,7 +115,7 @@
             before_write,
             seed: 7,
         };
-        BenchPlanner {
+        TestPlanner {
             handle: PlannerHandle::start(arguments).await.unwrap(),
             counters,
             tree,
@@ -123,27 +123,27 @@
         }
     }
 
-    /// Puts an engine's host on the host list, in a zone of its own.
-    pub async fn list(&self, number: u32, sidecar: SocketAddr) {
+    /// Adds an engine's host to the host list, in its own zone.
+    pub async fn add_host(&self, number: u32, sidecar: SocketAddr) {
         let record = HostRecord {
-            host: host(number),
+            host: host_id(number),
             address: sidecar,
             region: "region".parse().unwrap(),
             zone: format!("zone-{number}").parse().unwrap(),
-            service: Some(pool()),
+            service: Some(service_id()),
             state: HostState::Live,
         };
         let body = serde_json::to_value(record).unwrap();
         self.admin("/admin/hosts/put", &body).await;
     }
 
-    pub async fn leave(&self, number: u32) {
-        let change = json!({"host": host(number), "state": HostState::Leaving});
+    pub async fn mark_leaving(&self, number: u32) {
+        let change = json!({"host": host_id(number), "state": HostState::Leaving});
         self.admin("/admin/hosts/state", &change).await;
     }
 
-    pub async fn outage(&self, is_out: bool) {
-        self.admin("/admin/faults", &json!({"outage": is_out}))
+    pub async fn set_outage(&self, is_unavailable: bool) {
+        self.admin("/admin/faults", &json!({"outage": is_unavailable}))
             .await;
     }
 
@@ -153,25 +153,25 @@
         reply.unwrap().success().unwrap();
     }
 
-    /// Writes a placement of some models on one host, as a planner would.
-    pub async fn place(&self, number: u32, names: &[&str]) -> Row {
+    /// Writes a placement of models on one host, as a planner would.
+    pub async fn write_placement(&self, number: u32, names: &[&str]) -> Row {
         let current = self.table.row(PLACEMENT_KEY).await.unwrap();
         let assignment = Assignment {
-            models: names.iter().map(|name| model(name)).collect(),
+            models: names.iter().map(|name| model_id(name)).collect(),
             ..Assignment::default()
         };
         let placement = Placement {
             fencing: FencingNumber::new(1),
             tree_version: TreeVersion::new(1),
-            assignments: BTreeMap::from([(host(number), assignment)]),
+            assignments: BTreeMap::from([(host_id(number), assignment)]),
         };
         let body = serde_json::to_string(&placement).unwrap();
         let version = PlacementVersion::new(current.version.next().get());
         let write = ConditionalWrite::new(PLACEMENT_KEY, current.version, body, new_write_id())
             .also_writing(placement_head(version));
         let mut write = TableWrite::new(write);
-        let until = Instant::now() + WAIT_LIMIT;
-        match write.settle_until(&self.table, until).await {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        match write.settle_until(&self.table, deadline).await {
             Some(WriteStep::Won { row }) => row,
             other => panic!("the placement was not written: {other:?}"),
         }
@@ -183,54 +183,54 @@
         (row, placement)
     }
 
-    /// What an engine has been ordered; it tells also while frozen.
+    /// The orders that an engine has received; it reports them while frozen as well.
     pub async fn orders(&self, engine: &Running) -> OrderState {
         let orders = self.client.get_json(engine.url("/orders")).await;
         orders.unwrap()
     }
 
-    pub async fn until_loaded(&self, engine: &Running, names: &[&str]) {
-        let wanted: Vec<_> = names.iter().map(|name| model(name)).collect();
-        until("the engine runs its models", async || {
-            self.orders(engine).await.models == wanted
+    pub async fn wait_until_loaded(&self, engine: &Running, names: &[&str]) {
+        let expected: Vec<_> = names.iter().map(|name| model_id(name)).collect();
+        poll_until("the engine runs its models", async || {
+            self.orders(engine).await.models == expected
         })
         .await;
     }
 }
 
-impl BenchPlanner {
-    pub fn count(&self, reason: &str) -> u64 {
+impl TestPlanner {
+    pub fn counter(&self, reason: &str) -> u64 {
         let totals = self.counters.totals();
         let counted = totals.get(&format!("planner.{reason}"));
         counted.copied().unwrap_or_default()
     }
 }
 
-/// Settings of a planner that looks often.
-pub fn quick_planner() -> PlannerSettings {
+/// Planner settings with a short poll interval and lease.
+pub fn fast_planner_settings() -> PlannerSettings {
     PlannerSettings {
-        poll_interval: POLL,
-        lease_duration: LEASE,
+        poll_interval: POLL_INTERVAL,
+        lease_duration: LEASE_DURATION,
         ..PlannerSettings::default()
     }
 }
 
-/// A tree whose one service wants a model.
-pub fn tree(versions: u32, model_name: &str, replicas: u32) -> CompiledTree {
+/// A tree of the given version whose one service requires replicas of a model.
+pub fn compiled_tree(versions: u32, model_name: &str, replicas: u32) -> CompiledTree {
     let put = put_service(model_name, replicas);
     let tree = (0..versions).fold(SettingsTree::empty(), |tree, _| tree.apply(&put).unwrap());
     CompiledTree::new(tree).unwrap()
 }
 
-/// An edit that wants replicas of a model.
+/// An edit that requires replicas of a model.
 pub fn put_service(model_name: &str, replicas: u32) -> TreeEdit {
     TreeEdit::PutService {
-        id: pool(),
-        service: Service::repeatable().with_model(model(model_name), replicas),
+        id: service_id(),
+        service: Service::repeatable().with_model(model_id(model_name), replicas),
     }
 }
 
-pub async fn engine(honours_fence: bool) -> Running {
+pub async fn start_engine(honours_fence: bool) -> Running {
     let settings = EngineSettings {
         honours_fence,
         ..EngineSettings::default()
@@ -238,31 +238,31 @@
     Engine::start(settings).await.unwrap()
 }
 
-pub fn pool() -> ServiceId {
+pub fn service_id() -> ServiceId {
     "amaranth-pool".parse().unwrap()
 }
 
-pub fn host(number: u32) -> HostId {
+pub fn host_id(number: u32) -> HostId {
     format!("engine-{number}").parse().unwrap()
 }
 
-pub fn model(name: &str) -> ModelId {
+pub fn model_id(name: &str) -> ModelId {
     name.parse().unwrap()
 }
 
-/// Total of one counter of a sidecar.
-pub fn counted(sidecar: &Sidecar, name: &str) -> u64 {
+/// Value of a counter of a sidecar.
+pub fn sidecar_counter(sidecar: &Sidecar, name: &str) -> u64 {
     let totals = sidecar.counters().totals();
     totals.get(name).copied().unwrap_or_default()
 }
 
-/// Waits for an event that only a repeated check can see.
-pub async fn until(awaited: &str, mut check: impl AsyncFnMut() -> bool) {
+/// Repeats a check until it holds; fails the test after [`WAIT_TIMEOUT`].
+pub async fn poll_until(condition: &str, mut check: impl AsyncFnMut() -> bool) {
     let waiting = async {
         while !check().await {
-            sleep(CHECK_PAUSE).await;
+            sleep(CHECK_INTERVAL).await;
         }
     };
-    let waited = timeout(WAIT_LIMIT, waiting).await;
-    assert!(waited.is_ok(), "did not happen: {awaited}");
+    let waited = timeout(WAIT_TIMEOUT, waiting).await;
+    assert!(waited.is_ok(), "did not happen: {condition}");
 }
--- a/crates/standins/tests/support/platform_process.rs
+++ b/crates/standins/tests/support/platform_process.rs
@@ -1,4 +1,4 @@
-//! The platform as a process.
+//! The stand-in platform as a child process.
 
 use std::net::SocketAddr;
 
@@ -7,9 +7,9 @@
 use amaranthscale_standins::platform::{PlatformCounts, PlatformFaults};
 use serde_json::json;
 
-use super::{ChildProcess, switch};
+use super::{ChildProcess, set_faults};
 
-/// The platform as a process.
+/// The stand-in platform as a child process.
 #[derive(Debug)]
 pub struct PlatformProcess {
     process: ChildProcess,
@@ -17,7 +17,7 @@
 }
 
 impl PlatformProcess {
-    /// Starts an empty platform.
+    /// Starts a platform without hosts and rows.
     pub fn start() -> Self {
         let program = env!("CARGO_BIN_EXE_standin-platform");
         let process = ChildProcess::start(program, ["--listen", "127.0.0.1:0"]);
@@ -27,30 +27,30 @@
         }
     }
 
-    /// Address of its HTTP.
+    /// Address of its HTTP interface.
     pub fn address(&self) -> SocketAddr {
         self.process.address()
     }
 
-    /// Switches faults.
-    pub async fn switch(&self, faults: PlatformFaults) {
-        switch(&self.http, self.process.url("/admin/faults"), &faults).await;
+    /// Sets faults.
+    pub async fn set_faults(&self, faults: PlatformFaults) {
+        set_faults(&self.http, self.process.url("/admin/faults"), &faults).await;
     }
 
-    /// Answers all calls with an error, or serves again.
-    pub async fn outage(&self, is_away: bool) {
-        let outage = Some(is_away);
-        self.switch(PlatformFaults {
+    /// Makes all calls fail, or serves them again.
+    pub async fn set_outage(&self, is_unavailable: bool) {
+        let outage = Some(is_unavailable);
+        self.set_faults(PlatformFaults {
             outage,
             ..PlatformFaults::default()
         })
         .await;
     }
 
-    /// Fails table and objects alone, or serves them again.
-    pub async fn table_outage(&self, is_away: bool) {
-        let table_outage = Some(is_away);
-        self.switch(PlatformFaults {
+    /// Makes only calls of table and objects fail, or serves them again.
+    pub async fn set_table_outage(&self, is_unavailable: bool) {
+        let table_outage = Some(is_unavailable);
+        self.set_faults(PlatformFaults {
             table_outage,
             ..PlatformFaults::default()
         })
@@ -62,7 +62,7 @@
         self.put_host_in("north-yard", host, address, service).await;
     }
 
-    /// The same in an availability zone.
+    /// Adds a host of an availability zone to the host list, or replaces it.
     pub async fn put_host_in(
         &self,
         zone: &str,
@@ -79,16 +79,16 @@
             service: service.map(name),
             state: HostState::Live,
         };
-        switch(&self.http, self.process.url("/admin/hosts/put"), &record).await;
+        set_faults(&self.http, self.process.url("/admin/hosts/put"), &record).await;
     }
 
     /// Marks a host as leaving.
     pub async fn set_leaving(&self, host: &str) {
         let change = json!({"host": host, "state": "leaving"});
-        switch(&self.http, self.process.url("/admin/hosts/state"), &change).await;
+        set_faults(&self.http, self.process.url("/admin/hosts/state"), &change).await;
     }
 
-    /// Version of the host list that it shows.
+    /// Version of the host list.
     pub async fn host_list_version(&self) -> u64 {
         let hosts: HostList = self.get("/hosts").await;
         hosts.version
@@ -106,7 +106,7 @@
             .await
     }
 
-    /// What it has counted; no fault touches this call.
+    /// The platform's counts; faults do not affect this call.
     pub async fn counts(&self) -> PlatformCounts {
         self.get("/admin/counts").await
     }
--- a/crates/standins/tests/support/request.rs
+++ b/crates/standins/tests/support/request.rs
@@ -19,10 +19,10 @@
 /// Bearer key of Delta Basin's operators.
 pub const OPERATOR_KEY: &str = "demo-delta-operator";
 
-/// Most tries until a request is answered in full.
+/// Maximum number of tries until a request has a final answer.
 const MAX_TRIES: u32 = 60;
 
-/// One request of a caller, which may be made again under its own key.
+/// A caller's request, which can be sent several times under the same key.
 #[derive(Debug, Clone)]
 pub struct Request {
     path: String,
@@ -33,7 +33,7 @@
 }
 
 impl Request {
-    /// A settlement, which may not be repeated, under a key made of its marker.
+    /// A settlement, which must not run twice, with an idempotency key derived from its marker.
     pub fn settlement(marker: &str) -> Self {
         let key = Some(format!("key-{marker}"));
         Self {
@@ -42,12 +42,12 @@
         }
     }
 
-    /// A question to the same service, which may be repeated.
+    /// A balance query of the same service, which is repeatable.
     pub fn balance(marker: &str) -> Self {
         Self::post("/v1/services/grower-ledger/balances", marker)
     }
 
-    /// An assessment by the four-stage pipeline, with an answer of some tokens.
+    /// An assessment by the four-stage pipeline, with an answer of `max_tokens` tokens.
     pub fn assessment(marker: &str, max_tokens: u32) -> Self {
         let body = json!({"marker": marker, "max_tokens": max_tokens});
         Self {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The same request with another deadline, as text.
+    /// The same request with another deadline; text, so that invalid ones can be sent.
     pub fn with_deadline(self, deadline_ms: &str) -> Self {
         let deadline_ms = deadline_ms.to_owned();
         Self {
@@ -81,13 +81,13 @@
         Self { body, ..self }
     }
 
-    /// The same request without its key, or with another.
+    /// The same request with another idempotency key, or without one.
     pub fn with_key(self, key: Option<&str>) -> Self {
         let key = key.map(str::to_owned);
         Self { key, ..self }
     }
 
-    /// The same request under another bearer key.
+    /// The same request with another bearer key.
     pub fn with_bearer(self, key: &str) -> Self {
         let bearer = bearer(key);
         Self { bearer, ..self }
@@ -99,82 +99,82 @@
         Self { path, ..self }
     }
 
-    /// Key of the row that holds the claim of a settlement.
+    /// Table key of a settlement's claim row.
     pub fn claim_key(&self) -> String {
         let key = self.key.as_deref().expect("a settlement has a key");
         format!("claim/mill-accounts/{key}/0")
     }
 
-    /// Digest of the body, by which executions are told apart.
+    /// Digest of the body, which identifies executions of the request.
     pub fn digest(&self) -> String {
         let digest = Sha256::digest(self.body.as_bytes());
         digest.iter().fold(String::new(), |mut text, byte| {
-            write!(text, "{byte:02x}").expect("a string takes all text");
+            write!(text, "{byte:02x}").expect("writing to a string succeeds");
             text
         })
     }
 
-    /// Makes the request at an entry; none if the connection ended without an answer.
-    pub async fn ask(&self, entry: &EntryProcess) -> Option<Answer> {
-        self.clone().ask_at(entry.url(&self.path)).await
+    /// Sends the request to an entry; `None` if the connection ended without an answer.
+    pub async fn send(&self, entry: &EntryProcess) -> Option<Answer> {
+        self.clone().send_to(entry.url(&self.path)).await
     }
 
-    /// Makes the request at an entry while the test goes on.
-    pub fn asking(&self, entry: &EntryProcess) -> JoinHandle<Option<Answer>> {
-        tokio::spawn(self.clone().ask_at(entry.url(&self.path)))
+    /// Sends the request to an entry in a separate task.
+    pub fn send_in_background(&self, entry: &EntryProcess) -> JoinHandle<Option<Answer>> {
+        tokio::spawn(self.clone().send_to(entry.url(&self.path)))
     }
 
-    /// Makes the request until it is answered in full or for good, waiting as each answer asks.
-    pub async fn ask_until_final(&self, entry: &EntryProcess) -> Answer {
+    /// Sends the request until an answer asks for no retry, with the delays that answers ask for.
+    pub async fn send_until_final(&self, entry: &EntryProcess) -> Answer {
         let mut last = None;
         for _ in 0..MAX_TRIES {
-            let answer = self.ask(entry).await.expect("the entry answers");
+            let answer = self.send(entry).await.expect("the entry answers");
             if answer.retry_after_ms.is_none() {
                 return answer;
             }
-            sleep(answer.pause()).await;
+            sleep(answer.retry_delay()).await;
             last = Some(answer);
         }
-        panic!("{self:?} got no final answer, but {last:?}")
+        panic!("{self:?} has no final answer after {MAX_TRIES} tries; the last: {last:?}")
     }
 
-    /// Makes the request at an entry and reads its tokens as they come.
+    /// Sends the request to an entry and returns the stream of its tokens.
     pub async fn stream(&self, entry: &EntryProcess) -> TokenStream {
         let url = entry.url(&self.path);
         TokenStream::new(self.open(&url, &[("accept", "text/event-stream")]).await)
     }
 
-    async fn ask_at(self, url: String) -> Option<Answer> {
+    async fn send_to(self, url: String) -> Option<Answer> {
         let headers = self.headers(&[]);
         let http = HttpClient::new();
         let reply = http.post(url, &headers, self.body.clone()).await.ok()?;
         Some(Answer::read(&reply))
     }
 
-    async fn open(&self, url: &str, more: &[(&str, &str)]) -> Response<Incoming> {
-        let headers = self.headers(more);
+    async fn open(&self, url: &str, extra: &[(&str, &str)]) -> Response<Incoming> {
+        let headers = self.headers(extra);
         let (http, body) = (HttpClient::new(), self.body.clone());
         let opened = http.open(Method::POST, url, &headers, body).await;
         opened.expect("the entry begins to answer")
     }
 
-    fn headers<'a>(&'a self, more: &[(&'a str, &'a str)]) -> Vec<(&'a str, &'a str)> {
+    fn headers<'a>(&'a self, extra: &[(&'a str, &'a str)]) -> Vec<(&'a str, &'a str)> {
         let mut headers = vec![
             ("authorization", self.bearer.as_str()),
             ("x-deadline-ms", self.deadline_ms.as_str()),
         ];
         headers.extend(self.key.as_deref().map(|key| ("idempotency-key", key)));
-        headers.extend(more);
+        headers.extend(extra);
         headers
     }
 }
 
-/// The value under which a bearer key is sent.
+/// Value of the `authorization` header for a bearer key.
 pub fn bearer(key: &str) -> String {
     format!("Bearer {key}")
 }
 
-/// An operator's edit against a version of the tree.
+/// Body of an operator's edit of the given version of the tree.
 pub fn edit(expected_version: u64, by: &str, edit: &Value) -> Value {
     json!({"expected_version": expected_version, "by": by, "edit": edit})
 }
--- a/crates/standins/tests/support/signals.rs
+++ b/crates/standins/tests/support/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that must go through, and answers that must come.
+//! Signals and waits for answers that fail the test on an error.
 
 use tokio::task::JoinHandle;
 
@@ -9,23 +9,23 @@
     process.kill().expect("the process is killed");
 }
 
-/// Freezes a process (SIGSTOP).
-pub fn freeze(process: &mut ChildProcess) {
-    process.pause().expect("the process is frozen");
+/// Pauses a process (SIGSTOP).
+pub fn pause(process: &mut ChildProcess) {
+    process.pause().expect("the process is paused");
 }
 
-/// Lets a frozen process go on (SIGCONT).
-pub fn wake(process: &mut ChildProcess) {
-    process.resume().expect("the process goes on");
+/// Resumes a paused process (SIGCONT).
+pub fn resume(process: &mut ChildProcess) {
+    process.resume().expect("the process is resumed");
 }
 
-/// Asks a process to end in good order (SIGTERM).
+/// Requests a graceful stop of a process (SIGTERM).
 pub fn terminate(process: &mut ChildProcess) {
-    process.terminate().expect("the process is asked to end");
+    process.terminate().expect("the signal is sent");
 }
 
-/// Waits for the answer to a request, which must have one.
-pub async fn answer_of(asking: JoinHandle<Option<Answer>>) -> Answer {
-    let answer = asking.await.expect("the caller's task ends");
+/// Waits for the answer to a request; fails the test if there is none.
+pub async fn await_answer(pending: JoinHandle<Option<Answer>>) -> Answer {
+    let answer = pending.await.expect("the caller's task ends");
     answer.expect("the entry answers")
 }
