--- a/crates/standins/tests/failure_bad_requests.rs
+++ b/crates/standins/tests/failure_bad_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that cannot be served: each gets its own code, and nothing runs.
+//! Invalid requests are refused with a result code for each cause, and do not run.
 
 mod support;
 
@@ -12,19 +12,19 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Settings under which a body is soon too large, and a caller soon too slow.
+/// Entry settings with a small body limit and a short read timeout.
 const NARROW_LIMITS: &str = "[limits]\nmax_body_bytes = 4096\nread_timeout_ms = 500\n";
 
-/// One entry with narrow limits and one host of the grower ledger.
+/// One entry with [`NARROW_LIMITS`] and one host of the grower ledger.
 async fn basin() -> DeltaBasin {
     let plan = BasinPlan::new([BackendPlan::ledger(1)]);
     DeltaBasin::start(plan.with_entries(1).with_entry_settings(NARROW_LIMITS)).await
 }
 
-/// A settlement that nobody may make, and the code that says why.
+/// Invalid settlements, each with its expected result code.
 fn bad_requests() -> Vec<(Request, u16)> {
     let settlement = || Request::settlement("bad");
-    let long = json!({"marker": "x".repeat(5000)}).to_string();
+    let long_body = json!({"marker": "x".repeat(5000)}).to_string();
     vec![
         (settlement().with_body("{\"marker\": "), 2001),
         (settlement().with_body("tonnes=17"), 2001),
@@ -36,7 +36,7 @@
         (settlement().with_path("/v1/pipelines/"), 2004),
         (settlement().with_path("/v1/services/no-such/x"), 2005),
         (settlement().with_key(None), 2006),
-        (settlement().with_body(long), 2008),
+        (settlement().with_body(long_body), 2008),
         (settlement().with_deadline("0"), 2009),
         (settlement().with_deadline("-1"), 2009),
         (settlement().with_deadline("soon"), 2009),
@@ -46,10 +46,10 @@
     ]
 }
 
-/// A caller with a mistake in its request learns which, by a code of its own, and is told that
-/// nothing ran. The causes are the caller's: syntax, key, path, size, deadline.
+/// Guards against an invalid request that runs, or whose code does not state the caller's mistake:
+/// syntax, key, path, size or deadline.
 #[tokio::test]
-async fn each_mistake_has_its_own_code() {
+async fn each_invalid_request_gets_its_own_code_and_does_not_run() {
     let basin = basin().await;
     let entry = &basin.entries[0];
     let suspend = json!({"kind": "suspend", "id": "driver-trial"});
@@ -65,10 +65,11 @@
     assert!(basin.executions().await.is_empty());
 }
 
-/// A clerk uses the key of one settlement for another, by mistake: the second is refused while the
-/// first runs and after it, and the first keeps its receipt.
+/// Guards against an answer to the wrong request: a caller uses the key of one settlement for
+/// another, by mistake. The second is refused while the first runs and after it; the first keeps
+/// its receipt.
 #[tokio::test]
-async fn a_key_comes_again_with_another_body() {
+async fn a_key_reused_with_another_body_is_refused() {
     let basin = basin().await;
     let entry = &basin.entries[0];
     let first = Request::settlement("first");
@@ -77,25 +78,26 @@
     let first_answer = first.send_in_background(entry);
     basin.backends[0].wait_for_executions(1).await;
 
-    let meanwhile = second.send(entry).await.unwrap();
+    let during = second.send(entry).await.unwrap();
     basin.backends[0].hold_calls(false).await;
     let first_answer = await_answer(first_answer).await;
-    let afterwards = second.send(entry).await.unwrap();
-    let again = first.send(entry).await.unwrap();
+    let after = second.send(entry).await.unwrap();
+    let repeated = first.send(entry).await.unwrap();
 
-    assert_eq!((meanwhile.code, meanwhile.ran.as_str()), (2007, "no"));
-    assert_eq!((afterwards.code, afterwards.ran.as_str()), (2007, "no"));
-    assert_eq!(again.body, first_answer.body);
+    assert_eq!((during.code, during.ran.as_str()), (2007, "no"));
+    assert_eq!((after.code, after.ran.as_str()), (2007, "no"));
+    assert_eq!(repeated.body, first_answer.body);
     let mut checker = AnswerChecker::default();
     checker.record(&first, Some(first_answer));
-    checker.record(&second, Some(meanwhile));
-    checker.record(&second, Some(afterwards));
+    checker.record(&second, Some(during));
+    checker.record(&second, Some(after));
     checker.check(&basin.executions().await);
 }
 
-/// Two organisations use the same key by chance: each settles its own, and gets its own receipt.
+/// Guards against keys shared between organisations: two use the same key by chance. Both
+/// settlements run, and each gets its own receipt.
 #[tokio::test]
-async fn a_key_belongs_to_its_organisation() {
+async fn organisations_may_use_the_same_key() {
     let basin = basin().await;
     let entry = &basin.entries[0];
     let mill = Request::settlement("mill").with_key(Some("17"));
@@ -114,10 +116,10 @@
     checker.check(&basin.executions().await);
 }
 
-/// A scale house on a bad line sends half of its settlement and then nothing. The entry answers that
-/// it did not arrive in time, and does not run the half.
+/// Guards against a truncated request that runs: a caller sends a part of its body and then
+/// nothing. The entry answers that the body did not arrive in time.
 #[tokio::test]
-async fn a_caller_who_sends_half_a_body() {
+async fn an_incomplete_body_times_out_and_does_not_run() {
     let basin = basin().await;
     let address = basin.entries[0].process.address();
     let mut head = "POST /v1/services/grower-ledger/settlements HTTP/1.1\r\n".to_owned();
@@ -138,26 +140,28 @@
     assert!(basin.executions().await.is_empty());
 }
 
-/// Bad requests do no harm to good ones that come at the same time.
+/// Guards against invalid requests that impair a valid one sent at the same time.
 #[tokio::test]
-async fn good_requests_go_through_among_bad_ones() {
+async fn a_valid_request_completes_beside_invalid_ones() {
     let basin = basin().await;
     let entry = &basin.entries[0];
     let bad: Vec<_> = bad_requests()
         .iter()
-        .map(|(one, _)| one.send_in_background(entry))
+        .map(|(request, _)| request.send_in_background(entry))
         .collect();
     let settlement = Request::settlement("good");
 
     let answer = settlement.send_until_final(entry).await;
-    for one in bad {
-        let answer = await_answer(one).await;
+    for pending in bad {
+        let answer = await_answer(pending).await;
         assert_ne!(answer.code / 1000, 4, "{answer:?}");
     }
 
     assert!(answer.is_complete(), "{answer:?}");
     let digest = settlement.digest();
     let executions = basin.executions().await;
-    let own = executions.iter().filter(|one| one.body_digest == digest);
-    assert_eq!(own.count(), 1);
+    let matching = executions
+        .iter()
+        .filter(|execution| execution.body_digest == digest);
+    assert_eq!(matching.count(), 1);
 }
--- a/crates/standins/tests/failure_connections.rs
+++ b/crates/standins/tests/failure_connections.rs
@@ -1,4 +1,6 @@
-//! Connections between entry and sidecar that go silent for good, or are cut.
+//! Connections between entry and sidecar that go silent permanently or are closed.
+//!
+//! A silent connection stays open and forwards nothing.
 
 mod support;
 
@@ -7,20 +9,20 @@
 };
 use tokio::task::JoinHandle;
 
-/// Requests on the connection as it fails.
+/// Requests in flight on the connection as it fails.
 const OPEN_REQUESTS: usize = 8;
 /// Tokens of a streamed answer.
 const STREAM_TOKENS: u32 = 60;
-/// Tokens that the caller has as the connection fails.
-const TOKENS_BEFORE: usize = 10;
+/// Tokens that the caller has received as the connection fails.
+const TOKENS_BEFORE_FAILURE: usize = 10;
 
-/// Two entries and one host of the grower ledger, with a relay before its sidecar.
+/// Two entries and one host of the grower ledger, with a relay in front of its sidecar.
 async fn basin() -> DeltaBasin {
     let backend = BackendPlan::ledger(1).with_relay();
     DeltaBasin::start(BasinPlan::new([backend])).await
 }
 
-/// Settlements and repeatable calls in turn.
+/// Alternating settlements and repeatable calls.
 fn requests(name: &str, count: usize) -> Vec<Request> {
     let request = |number: usize| match number % 2 {
         0 => Request::settlement(&format!("{name}-{number}")),
@@ -29,18 +31,20 @@
     (0..count).map(request).collect()
 }
 
-/// Requests at the first entry that the backend server has begun and holds.
-async fn held_requests(basin: &DeltaBasin) -> (Vec<Request>, Vec<JoinHandle<Option<Answer>>>) {
+/// Sends requests to the first entry that the backend server begins and holds.
+async fn start_held_requests(
+    basin: &DeltaBasin,
+) -> (Vec<Request>, Vec<JoinHandle<Option<Answer>>>) {
     let requests = requests("open", OPEN_REQUESTS);
     basin.backends[0].hold_calls(true).await;
-    let ask = |request: &Request| request.send_in_background(&basin.entries[0]);
-    let answers = requests.iter().map(ask).collect();
+    let send = |request: &Request| request.send_in_background(&basin.entries[0]);
+    let answers = requests.iter().map(send).collect();
     basin.backends[0].wait_for_executions(OPEN_REQUESTS).await;
     (requests, answers)
 }
 
-/// Lets the held calls end and judges their answers, all of which must be complete.
-async fn all_complete(
+/// Releases the held calls and checks that each request gets its complete answer.
+async fn assert_all_complete(
     basin: &DeltaBasin,
     requests: Vec<Request>,
     answers: Vec<JoinHandle<Option<Answer>>>,
@@ -56,40 +60,43 @@
     checker.check(&basin.executions().await);
 }
 
-/// Eight scale houses wait for receipts; each gets its own, within its deadline, and none is paid
-/// twice. The one connection that carries all eight goes silent, so the entry never hears that
-/// they are done; it must ask on a new connection, and must not send the work again.
+/// Guards against lost answers and settlements that run twice: the one connection that carries
+/// eight open requests goes silent, so the entry receives no answers. It must fetch them on a new
+/// connection and must not send the requests again.
 #[tokio::test]
-async fn a_connection_goes_silent_under_open_requests() {
+async fn open_requests_complete_after_their_connection_goes_silent() {
     let basin = basin().await;
-    let (requests, answers) = held_requests(&basin).await;
+    let (requests, answers) = start_held_requests(&basin).await;
     let before = basin.backends[0].relay().counts().await;
 
     let silenced = basin.backends[0].relay().silence_open().await;
 
-    all_complete(&basin, requests, answers).await;
+    assert_all_complete(&basin, requests, answers).await;
     let after = basin.backends[0].relay().counts().await;
     assert!(silenced >= 1);
-    assert!(after.accepted > before.accepted, "no new connection");
+    assert!(
+        after.accepted > before.accepted,
+        "no new connection was opened"
+    );
 }
 
-/// The same for a connection that is cut at both ends.
+/// The same failure with a connection that is closed at both ends.
 #[tokio::test]
-async fn a_connection_is_cut_under_open_requests() {
+async fn open_requests_complete_after_their_connection_is_closed() {
     let basin = basin().await;
-    let (requests, answers) = held_requests(&basin).await;
+    let (requests, answers) = start_held_requests(&basin).await;
 
     let cut = basin.backends[0].relay().cut_open().await;
 
     assert!(cut >= 1);
-    all_complete(&basin, requests, answers).await;
+    assert_all_complete(&basin, requests, answers).await;
 }
 
-/// The first requests after a quiet night get their answers within their deadlines all the same.
-/// The idle connection went silent in the meantime, and nobody noticed: the attempts sent on it
-/// never arrive, are taken back on a new connection, and are sent again there.
+/// Guards against missed deadlines after an idle period in which the connection went silent
+/// unnoticed: attempts sent on it never arrive. They are revoked on a new connection and sent again
+/// there.
 #[tokio::test]
-async fn an_idle_connection_went_silent() {
+async fn requests_complete_after_the_idle_connection_went_silent() {
     let basin = basin().await;
     let entry = &basin.entries[0];
     let first = Request::settlement("evening");
@@ -102,20 +109,21 @@
         .map(|request| request.send_in_background(entry));
     let answers = answers.collect::<Vec<_>>();
 
-    all_complete(&basin, requests, answers).await;
+    assert_all_complete(&basin, requests, answers).await;
 }
 
-/// The very first request of an entry gets its answer, though its connection to the sidecar is dead.
-/// The connection was opened to compare settings trees, and went silent; the entry's first question
-/// to the sidecar, who it is, is lost on it and asked again on a new one.
+/// Guards against a first request that fails on a dead connection. The connection was opened to
+/// exchange settings trees and went silent; the entry's first request on it, which asks for the
+/// sidecar's identity, is lost and repeated on a new connection.
 #[tokio::test]
-async fn an_idle_connection_went_silent_before_the_first_request() {
+async fn the_first_request_completes_after_the_idle_connection_went_silent() {
     let backend = BackendPlan::ledger(1).with_relay();
     let basin = DeltaBasin::start(BasinPlan::new([backend]).with_entries(1)).await;
     let relay = basin.backends[0].relay();
-    wait_until("the entry compares trees with the sidecar", async || {
-        relay.counts().await.to_client_bytes > 0
-    })
+    wait_until(
+        "the entry exchanges tree versions with the sidecar",
+        async || relay.counts().await.to_client_bytes > 0,
+    )
     .await;
     relay.silence_open().await;
 
@@ -131,13 +139,13 @@
     checker.check(&basin.executions().await);
 }
 
-/// A driver reads an assessment as it is written; it stops for a moment and goes on where it was,
-/// no word missing and none twice. The connection to the model engine's sidecar fails mid-stream.
-async fn a_stream_resumes_whole(fail: impl AsyncFnOnce(&BackendHost) -> u64) {
+/// Guards against a streamed answer with missing or repeated tokens: the connection to the model
+/// engine's sidecar fails mid-stream, and the stream resumes on a new one.
+async fn assert_stream_resumes(fail: impl AsyncFnOnce(&BackendHost) -> u64) {
     let basin = DeltaBasin::start(BasinPlan::pipeline(20)).await;
     let assessment = Request::assessment("truck-7", STREAM_TOKENS);
     let mut stream = assessment.stream(&basin.entries[0]).await;
-    stream.read_tokens(TOKENS_BEFORE).await;
+    stream.read_tokens(TOKENS_BEFORE_FAILURE).await;
 
     let failed = fail(&basin.backends[0]).await;
     let end = stream.read_to_end().await.cloned();
@@ -150,14 +158,14 @@
     assert!(stream.text().starts_with("[truck-7] "));
 }
 
-/// The connection is cut: both ends know at once.
+/// Both ends detect the closed connection at once.
 #[tokio::test]
-async fn a_stream_whose_connection_is_cut_resumes_whole() {
-    a_stream_resumes_whole(async |host| host.relay().cut_open().await).await;
+async fn a_stream_resumes_without_gaps_after_its_connection_is_closed() {
+    assert_stream_resumes(async |host| host.relay().cut_open().await).await;
 }
 
-/// The connection goes silent: only the missed ping tells the entry.
+/// The entry detects the silent connection only by the missing answer to its ping.
 #[tokio::test]
-async fn a_stream_whose_connection_goes_silent_resumes_whole() {
-    a_stream_resumes_whole(async |host| host.relay().silence_open().await).await;
+async fn a_stream_resumes_without_gaps_after_its_connection_goes_silent() {
+    assert_stream_resumes(async |host| host.relay().silence_open().await).await;
 }
--- a/crates/standins/tests/failure_edits.rs
+++ b/crates/standins/tests/failure_edits.rs
@@ -1,4 +1,5 @@
-//! Edits of the settings tree under failure: accepted edits are in force everywhere and stay so.
+//! Edits of the settings tree under failure: an accepted edit comes into force everywhere and stays
+//! in force.
 
 mod support;
 
@@ -11,43 +12,43 @@
     pause, resume, wait_until,
 };
 
-/// Rounds of two operators against each other.
+/// Rounds of edits.
 const ROUNDS: u64 = 8;
-/// Requests that wait at a frozen entry.
+/// Requests that wait at a paused entry.
 const WAITING_REQUESTS: usize = 24;
-/// Settings under which an entry that was frozen for a second doubts its tree.
-const QUICK_POLLS: &str = "[tree]\npoll_ms = 300\nexchange_ms = 300\n";
-/// Time for which an entry is frozen; longer than three polls.
-const FROZEN: Duration = Duration::from_secs(2);
+/// Settings under which an entry revalidates its tree after a pause of a second.
+const SHORT_POLL_INTERVALS: &str = "[tree]\npoll_ms = 300\nexchange_ms = 300\n";
+/// Time for which an entry is paused; longer than three polls.
+const PAUSE: Duration = Duration::from_secs(2);
 
-/// Some entries and one host of the grower ledger.
+/// The given number of entries and one host of the grower ledger.
 async fn basin(entries: u32) -> DeltaBasin {
     DeltaBasin::start(BasinPlan::new([BackendPlan::ledger(1)]).with_entries(entries)).await
 }
 
-/// Sets the weight of a trial organisation.
+/// An edit that sets the weight of a trial organisation.
 fn set_weight(weight: u64) -> Value {
     json!({"kind": "set", "id": "driver-trial", "field": "weight", "value": weight.to_string()})
 }
 
-/// Suspends a trial organisation.
+/// An edit that suspends that organisation.
 fn suspend() -> Value {
     json!({"kind": "suspend", "id": "driver-trial"})
 }
 
 /// A request of that organisation.
-fn drivers_request(marker: &str) -> Request {
+fn trial_request(marker: &str) -> Request {
     Request::balance(marker).with_bearer(DRIVER_TRIAL_KEY)
 }
 
-/// Makes an edit that must be accepted.
-async fn accepted(entry: &EntryProcess, expected_version: u64, edit: &Value) {
+/// Submits an edit that must be accepted.
+async fn apply_edit(entry: &EntryProcess, expected_version: u64, edit: &Value) {
     let reply = entry.edit(expected_version, "lena", edit).await;
     let body: Value = reply.success().expect("accepted").json().expect("JSON");
     assert_eq!(body["version"], expected_version + 1);
 }
 
-/// Whether an operator's edit was accepted; if not, it must show the conflict with the other's.
+/// Whether an edit was accepted; if not, the reply must name the other operator's edit.
 fn is_accepted(reply: &HttpReply, other: &str) -> bool {
     if reply.status.is_success() {
         return true;
@@ -58,10 +59,11 @@
     false
 }
 
-/// Two operators change the same organisation at the same moment, at two entries. One is told that
-/// it is done, the other sees whose edit came first and what it was; nothing is overwritten unseen.
+/// Guards against an edit that is overwritten unseen: two operators edit the same version of the
+/// same organisation at two entries. One edit is accepted; the other reply states whose edit came
+/// first and what it was.
 #[tokio::test]
-async fn two_operators_edit_the_same_version() {
+async fn one_of_two_concurrent_edits_is_accepted_and_the_other_sees_the_conflict() {
     let basin = basin(2).await;
     let [north, south] = [&basin.entries[0], &basin.entries[1]];
     for version in 1..=ROUNDS {
@@ -72,11 +74,14 @@
             south.edit(version, "omar", &south_edit),
         );
 
-        let is_north = is_accepted(&north_reply, "omar");
-        let is_south = is_accepted(&south_reply, "lena");
-        assert!(is_north != is_south, "exactly one wins");
+        let is_north_accepted = is_accepted(&north_reply, "omar");
+        let is_south_accepted = is_accepted(&south_reply, "lena");
+        assert!(
+            is_north_accepted != is_south_accepted,
+            "exactly one is accepted"
+        );
         basin.wait_for_tree(version + 1).await;
-        let expected = if is_north {
+        let expected = if is_north_accepted {
             2 * version
         } else {
             2 * version + 1
@@ -89,36 +94,37 @@
     }
 }
 
-/// An operator suspends an organisation, is told that it is done, and the platform goes down before
-/// anyone has polled it. The suspension is in force at all entries all the same, and stays.
+/// Guards against an accepted suspension that is not in force at all entries: the platform fails
+/// right after the edit, before any other process has polled it.
 #[tokio::test]
-async fn the_platform_fails_right_after_an_edit() {
+async fn an_accepted_edit_reaches_all_entries_during_a_platform_outage() {
     let basin = basin(4).await;
-    accepted(&basin.entries[0], 1, &suspend()).await;
+    apply_edit(&basin.entries[0], 1, &suspend()).await;
     basin.platform.set_outage(true).await;
 
     basin.wait_for_tree(2).await;
     for entry in &basin.entries {
-        let answer = drivers_request("suspended").send(entry).await.unwrap();
+        let answer = trial_request("suspended").send(entry).await.unwrap();
         assert_eq!((answer.code, answer.ran.as_str()), (2003, "no"));
     }
     basin.backends[0].wait_for_tree(2).await;
     basin.platform.set_outage(false).await;
     let next = set_weight(9);
-    accepted(&basin.entries[3], 2, &next).await;
+    apply_edit(&basin.entries[3], 2, &next).await;
 
     basin.wait_for_tree(3).await;
-    let answer = drivers_request("still").send(&basin.entries[1]).await;
+    let answer = trial_request("still").send(&basin.entries[1]).await;
     assert_eq!(answer.unwrap().code, 2003);
     assert!(basin.executions().await.is_empty());
 }
 
-/// A new entry host comes up while the table is away. It takes no request before it has learned the
-/// tree in force, and then learns it from its peers, edits of the last minute included.
+/// Guards against requests that a new entry decides without the tree in force: it starts while the
+/// table is unavailable and its peers are paused. It refuses requests until it has the tree, with
+/// the newest edits, from a peer.
 #[tokio::test]
-async fn an_entry_starts_while_the_table_is_away() {
+async fn an_entry_started_during_a_table_outage_gets_the_tree_from_its_peers() {
     let mut basin = basin(2).await;
-    accepted(&basin.entries[0], 1, &suspend()).await;
+    apply_edit(&basin.entries[0], 1, &suspend()).await;
     basin.wait_for_tree(2).await;
     basin.platform.set_table_outage(true).await;
     for entry in &mut basin.entries {
@@ -130,13 +136,13 @@
     newcomer.wait_for_hosts(3).await;
     newcomer.wait_for_counter("tree.unanswered", 3).await;
     let was_ready = newcomer.is_ready().await;
-    let early = drivers_request("early").send(&newcomer).await.unwrap();
+    let early = trial_request("early").send(&newcomer).await.unwrap();
     for entry in &mut basin.entries {
         resume(&mut entry.process);
     }
     resume(&mut basin.backends[0].sidecar);
     newcomer.wait_for_tree(2).await;
-    let late = drivers_request("late").send(&newcomer).await.unwrap();
+    let late = trial_request("late").send(&newcomer).await.unwrap();
     let balance = Request::balance("balance")
         .send_until_final(&newcomer)
         .await;
@@ -147,50 +153,50 @@
     assert!(balance.is_complete(), "{balance:?}");
 }
 
-/// The same with the host list away too: the entry knows no peer, so it waits for the platform and
-/// refuses everything until then.
+/// The same failure with the host list unavailable as well: the entry knows no peer, so it refuses
+/// all requests until the platform is available.
 #[tokio::test]
-async fn an_entry_starts_while_the_whole_platform_is_away() {
+async fn an_entry_started_during_a_platform_outage_refuses_requests_until_its_end() {
     let basin = basin(1).await;
-    accepted(&basin.entries[0], 1, &suspend()).await;
+    apply_edit(&basin.entries[0], 1, &suspend()).await;
     basin.platform.set_outage(true).await;
 
     let newcomer = basin.start_entry("newcomer");
     newcomer.wait_for_counter("tree.unanswered", 3).await;
-    let early = drivers_request("early").send(&newcomer).await.unwrap();
+    let early = trial_request("early").send(&newcomer).await.unwrap();
     basin.platform.set_outage(false).await;
     newcomer.wait_for_tree(2).await;
-    let late = drivers_request("late").send(&newcomer).await.unwrap();
+    let late = trial_request("late").send(&newcomer).await.unwrap();
 
     assert_eq!((early.code, early.ran.as_str()), (2208, "no"));
     assert_eq!(late.code, 2003);
     assert!(basin.executions().await.is_empty());
 }
 
-/// A suspended organisation's requests wait at an entry that was frozen as the operator suspended
-/// it. The entry wakes with the old tree in memory, and requests to decide on; it asks for the
-/// newest tree before it decides on any of them.
+/// Guards against decisions with an outdated tree: an entry is paused while an operator suspends an
+/// organisation, and resumes with the old tree and waiting requests of that organisation. It must
+/// get the newest tree before it decides on any of them.
 #[tokio::test]
-async fn an_entry_frozen_across_an_edit() {
-    let plan = BasinPlan::new([BackendPlan::ledger(1)]).with_entry_settings(QUICK_POLLS);
+async fn an_entry_paused_during_an_edit_revalidates_its_tree_before_decisions() {
+    let plan = BasinPlan::new([BackendPlan::ledger(1)]).with_entry_settings(SHORT_POLL_INTERVALS);
     let mut basin = DeltaBasin::start(plan).await;
-    let before = drivers_request("before")
+    let before = trial_request("before")
         .send_until_final(&basin.entries[0])
         .await;
     pause(&mut basin.entries[0].process);
-    accepted(&basin.entries[1], 1, &suspend()).await;
-    let requests = (0..WAITING_REQUESTS).map(|number| drivers_request(&format!("wait-{number}")));
-    let asking: Vec<_> = requests
-        .map(|one| one.send_in_background(&basin.entries[0]))
+    apply_edit(&basin.entries[1], 1, &suspend()).await;
+    let requests = (0..WAITING_REQUESTS).map(|number| trial_request(&format!("wait-{number}")));
+    let pending: Vec<_> = requests
+        .map(|request| request.send_in_background(&basin.entries[0]))
         .collect();
-    tokio::time::sleep(FROZEN).await;
+    tokio::time::sleep(PAUSE).await;
 
     resume(&mut basin.entries[0].process);
     let mut codes = Vec::new();
-    for one in asking {
-        codes.push(await_answer(one).await.code);
+    for answer in pending {
+        codes.push(await_answer(answer).await.code);
     }
-    let after = drivers_request("after")
+    let after = trial_request("after")
         .send_until_final(&basin.entries[0])
         .await;
 
@@ -198,19 +204,20 @@
     let is_refusal = |code: &u16| matches!(code, 2003 | 2208);
     assert!(
         codes.iter().all(is_refusal),
-        "decided by an old tree: {codes:?}"
+        "decided with an outdated tree: {codes:?}"
     );
     assert_eq!(after.code, 2003);
     assert_eq!(basin.executions().await.len(), 1);
 }
 
-/// Sidecars and entries that missed edits through a long outage have them all soon after its end.
+/// Guards against missed edits: an entry that was paused during many edits must have them all soon
+/// after it resumes.
 #[tokio::test]
-async fn edits_reach_whoever_was_frozen_through_many() {
+async fn an_entry_paused_during_many_edits_gets_all_of_them() {
     let mut basin = basin(2).await;
     pause(&mut basin.entries[1].process);
     for version in 1..=ROUNDS {
-        accepted(&basin.entries[0], version, &set_weight(version + 10)).await;
+        apply_edit(&basin.entries[0], version, &set_weight(version + 10)).await;
     }
 
     resume(&mut basin.entries[1].process);
--- a/crates/standins/tests/failure_leaving.rs
+++ b/crates/standins/tests/failure_leaving.rs
@@ -1,4 +1,4 @@
-//! Hosts that leave: nothing new starts there, and no request is cut off.
+//! Graceful stops of hosts: no new work starts there, and running requests complete.
 
 mod support;
 
@@ -9,13 +9,13 @@
 };
 use tokio::task::JoinHandle;
 
-/// Requests that come while a host is leaving.
+/// Requests made while a host is leaving.
 const LATER_REQUESTS: usize = 12;
 /// Tokens of a streamed answer.
 const STREAM_TOKENS: u32 = 60;
-/// Tokens that the caller has as the entry is told to end.
-const TOKENS_BEFORE: usize = 10;
-/// Time by which the host list is late, longer than the sidecar itself takes to say that it leaves.
+/// Tokens that the caller has received as the entry gets SIGTERM.
+const TOKENS_BEFORE_STOP: usize = 10;
+/// Lag of the host list, longer than the sidecar itself takes to report that it is leaving.
 const HOST_LIST_LAG_MS: u64 = 4000;
 
 /// Two entries and two hosts of the grower ledger.
@@ -27,14 +27,14 @@
     .await
 }
 
-/// A settlement that a backend server has begun and holds, and the number of its host.
-async fn held(basin: &DeltaBasin) -> (Request, JoinHandle<Option<Answer>>, usize) {
+/// Starts a settlement that a backend server holds; also returns the index of its host.
+async fn start_held_settlement(basin: &DeltaBasin) -> (Request, JoinHandle<Option<Answer>>, usize) {
     for backend in &basin.backends {
         backend.hold_calls(true).await;
     }
     let settlement = Request::settlement("held");
     let answer = settlement.send_in_background(&basin.entries[0]);
-    wait_until("the settlement is begun", async || {
+    wait_until("the settlement has begun", async || {
         basin.executions().await.len() == 1
     })
     .await;
@@ -42,46 +42,47 @@
     (settlement, answer, usize::from(!is_first))
 }
 
-/// A host is replaced while it settles an account. The clerk gets the receipt; settlements made
-/// meanwhile go elsewhere. The sidecar is told to end long before the host list says so.
+/// Guards against a settlement that a graceful stop interrupts, and against new work on a stopping
+/// host: the sidecar gets SIGTERM during a call, long before the host list shows its host as
+/// leaving.
 #[tokio::test]
-async fn a_sidecar_ends_with_a_held_call() {
+async fn a_stopping_sidecar_finishes_its_call_and_accepts_no_other() {
     let mut basin = basin().await;
-    let late = PlatformFaults {
+    let lagging = PlatformFaults {
         host_list_lag_ms: Some(HOST_LIST_LAG_MS),
         ..PlatformFaults::default()
     };
-    basin.platform.set_faults(late).await;
-    let (settlement, answer, leaver) = held(&basin).await;
-    let host = basin.backends[leaver].host().to_owned();
+    basin.platform.set_faults(lagging).await;
+    let (settlement, answer, leaving) = start_held_settlement(&basin).await;
+    let host = basin.backends[leaving].host().to_owned();
     basin.platform.set_leaving(&host).await;
 
-    terminate(&mut basin.backends[leaver].sidecar);
-    wait_until("the sidecar leaves", async || {
-        basin.backends[leaver].status().await["is_leaving"] == true
+    terminate(&mut basin.backends[leaving].sidecar);
+    wait_until("the sidecar is leaving", async || {
+        basin.backends[leaving].status().await["is_leaving"] == true
     })
     .await;
-    basin.backends[1 - leaver].hold_calls(false).await;
+    basin.backends[1 - leaving].hold_calls(false).await;
     let mut checker = AnswerChecker::default();
     basin
         .make_settlements(&mut checker, "later", LATER_REQUESTS)
         .await;
-    let begun_meanwhile = basin.backends[leaver].executions().await.len();
-    basin.backends[leaver].hold_calls(false).await;
+    let begun_while_leaving = basin.backends[leaving].executions().await.len();
+    basin.backends[leaving].hold_calls(false).await;
     let answer = await_answer(answer).await;
-    let status = basin.backends[leaver].sidecar.wait().unwrap();
+    let status = basin.backends[leaving].sidecar.wait().unwrap();
 
-    assert_eq!(begun_meanwhile, 1, "new work on a host that leaves");
+    assert_eq!(begun_while_leaving, 1, "new work on a leaving host");
     assert!(answer.is_complete(), "{answer:?}");
     assert!(status.success(), "{status}");
     checker.record(&settlement, Some(answer));
     checker.check(&basin.executions().await);
 }
 
-/// The platform marks a host as leaving, and nobody has told its sidecar. Once the entries have the
-/// late host list, the host gets nothing new.
+/// Guards against new work on a host that only the host list marks as leaving: its sidecar is not
+/// stopped. Once the entries have the new host list, the host gets no new call.
 #[tokio::test]
-async fn a_host_leaves_by_the_host_list() {
+async fn a_host_marked_as_leaving_gets_no_new_call() {
     let basin = basin().await;
     let mut checker = AnswerChecker::default();
     basin
@@ -107,17 +108,17 @@
     checker.check(&basin.executions().await);
 }
 
-/// A driver reads an assessment as it is written while the entry host is replaced: the last word
-/// comes, then the entry ends, and what asks it meanwhile goes to another.
+/// Guards against a streamed answer that a graceful stop interrupts: the entry gets SIGTERM mid-
+/// stream. It finishes the stream, accepts no new requests and then exits.
 #[tokio::test]
-async fn an_entry_ends_with_an_open_stream() {
+async fn a_stopping_entry_finishes_its_stream() {
     let mut basin = DeltaBasin::start(BasinPlan::pipeline(20)).await;
     let assessment = Request::assessment("truck-9", STREAM_TOKENS);
     let mut stream = assessment.stream(&basin.entries[0]).await;
-    stream.read_tokens(TOKENS_BEFORE).await;
+    stream.read_tokens(TOKENS_BEFORE_STOP).await;
 
     terminate(&mut basin.entries[0].process);
-    let is_closed = wait_until("the entry takes nothing new", async || {
+    let is_closed = wait_until("the entry accepts no new request", async || {
         assessment.send(&basin.entries[0]).await.is_none()
     });
     let (end, ()) = tokio::join!(stream.read_to_end(), is_closed);
@@ -132,19 +133,20 @@
     assert!(status.success(), "{status}");
 }
 
-/// Clerks whose settlements are held as the entry is told to end get their receipts before it ends.
+/// Guards against settlements without an answer: the entry gets SIGTERM while a settlement runs,
+/// and must return the receipt before it exits.
 #[tokio::test]
-async fn an_entry_ends_with_held_calls() {
+async fn a_stopping_entry_answers_its_open_requests() {
     let mut basin = basin().await;
-    let (settlement, answer, holder) = held(&basin).await;
+    let (settlement, answer, holding) = start_held_settlement(&basin).await;
 
     terminate(&mut basin.entries[0].process);
     let other = Request::balance("other").with_bearer("nobody");
-    wait_until("the entry takes nothing new", async || {
+    wait_until("the entry accepts no new request", async || {
         other.send(&basin.entries[0]).await.is_none()
     })
     .await;
-    basin.backends[holder].hold_calls(false).await;
+    basin.backends[holding].hold_calls(false).await;
     let answer = await_answer(answer).await;
     let status = basin.entries[0].process.wait().unwrap();
 
@@ -155,15 +157,16 @@
     checker.check(&basin.executions().await);
 }
 
-/// An operator who cannot wait asks a second time: the entry ends at once and says so by its exit
-/// status. The clerk sees the connection break, asks elsewhere, and gets the one receipt.
+/// Guards against an entry that an operator cannot stop while requests run, and against a
+/// settlement that runs twice after such a stop. The entry exits with status 1, the caller's
+/// connection ends without an answer, and another entry returns the receipt.
 #[tokio::test]
-async fn a_second_signal_ends_an_entry() {
+async fn a_second_sigterm_stops_an_entry_at_once() {
     let mut basin = basin().await;
-    let (settlement, answer, holder) = held(&basin).await;
+    let (settlement, answer, holding) = start_held_settlement(&basin).await;
     terminate(&mut basin.entries[0].process);
     let other = Request::balance("other").with_bearer("nobody");
-    wait_until("the entry takes nothing new", async || {
+    wait_until("the entry accepts no new request", async || {
         other.send(&basin.entries[0]).await.is_none()
     })
     .await;
@@ -171,37 +174,38 @@
     terminate(&mut basin.entries[0].process);
     let status = basin.entries[0].process.wait().unwrap();
     let answer = answer.await.unwrap();
-    basin.backends[holder].hold_calls(false).await;
-    let again = settlement.send_until_final(&basin.entries[1]).await;
+    basin.backends[holding].hold_calls(false).await;
+    let repeated = settlement.send_until_final(&basin.entries[1]).await;
 
     assert_eq!(status.code(), Some(1));
     assert!(answer.is_none(), "{answer:?}");
-    assert!(again.is_complete(), "{again:?}");
+    assert!(repeated.is_complete(), "{repeated:?}");
     let mut checker = AnswerChecker::default();
     checker.record(&settlement, answer);
-    checker.record(&settlement, Some(again));
+    checker.record(&settlement, Some(repeated));
     checker.check(&basin.executions().await);
 }
 
-/// The same for a sidecar: the call that it cuts off is told as unknown, and never made again.
+/// The same failure for a sidecar: the call that it interrupts is reported as unknown and does not
+/// run again.
 #[tokio::test]
-async fn a_second_signal_ends_a_sidecar() {
+async fn a_second_sigterm_stops_a_sidecar_at_once() {
     let mut basin = basin().await;
-    let (settlement, answer, leaver) = held(&basin).await;
-    terminate(&mut basin.backends[leaver].sidecar);
-    wait_until("the sidecar leaves", async || {
-        basin.backends[leaver].status().await["is_leaving"] == true
+    let (settlement, answer, leaving) = start_held_settlement(&basin).await;
+    terminate(&mut basin.backends[leaving].sidecar);
+    wait_until("the sidecar is leaving", async || {
+        basin.backends[leaving].status().await["is_leaving"] == true
     })
     .await;
 
-    terminate(&mut basin.backends[leaver].sidecar);
-    let status = basin.backends[leaver].sidecar.wait().unwrap();
+    terminate(&mut basin.backends[leaving].sidecar);
+    let status = basin.backends[leaving].sidecar.wait().unwrap();
     let answer = await_answer(answer).await;
-    basin.backends[leaver].hold_calls(false).await;
-    let again = settlement.send_until_final(&basin.entries[1]).await;
+    basin.backends[leaving].hold_calls(false).await;
+    let repeated = settlement.send_until_final(&basin.entries[1]).await;
 
     assert_eq!(status.code(), Some(1));
     assert_eq!((answer.code, answer.ran.as_str()), (4001, "unknown"));
-    assert_eq!((again.code, again.ran.as_str()), (4001, "unknown"));
+    assert_eq!((repeated.code, repeated.ran.as_str()), (4001, "unknown"));
     assert_eq!(basin.executions().await.len(), 1);
 }
--- a/crates/standins/tests/failure_pause.rs
+++ b/crates/standins/tests/failure_pause.rs
@@ -1,4 +1,4 @@
-//! Processes that are frozen (SIGSTOP) and wake up again (SIGCONT), believing what they knew.
+//! Processes that are paused (SIGSTOP) and resume (SIGCONT) with outdated state.
 
 mod support;
 
@@ -10,20 +10,20 @@
     resume, run_round_trips, wait_until,
 };
 
-/// Deadline of a request that a frozen process lets pass.
+/// Deadline that passes while a process is paused.
 const SHORT_DEADLINE_MS: &str = "1500";
-/// Time after which that deadline and the expiry of its attempts have passed.
+/// Time after which [`SHORT_DEADLINE_MS`] and the expiry of its attempts have passed.
 const PAST_DEADLINE: Duration = Duration::from_millis(1600);
 
-/// Tries to freeze a sidecar in the half second between its claim and its call.
-const MAX_TRIES_TO_FREEZE: u32 = 5;
+/// Tries to pause a sidecar within the half second between its claim and its call.
+const MAX_PAUSE_TRIES: u32 = 5;
 
 /// Two entries and one host of the grower ledger.
 async fn basin() -> DeltaBasin {
     DeltaBasin::start(BasinPlan::new([BackendPlan::ledger(1)])).await
 }
 
-/// Lets the first entry make the acquaintance of the sidecar, so that it dispatches at once.
+/// Makes a settlement at the first entry, which then knows the sidecar and dispatches at once.
 async fn warm_up(basin: &DeltaBasin) -> Request {
     let first = Request::settlement("warm-up");
     let answer = first.send_until_final(&basin.entries[0]).await;
@@ -35,15 +35,15 @@
 async fn wait_for_second_dispatch(basin: &DeltaBasin) {
     let entry = &basin.entries[0];
     entry.wait_for_counter("attempt.dispatched", 2).await;
-    // It is counted just before it is sent.
+    // The entry counts the attempt just before it sends it.
     run_round_trips(async || entry.status().await).await;
 }
 
-/// A settlement is made at two entries, by a clerk who lost patience: it is paid once, and both
-/// windows show the same receipt. The first entry freezes after it has read the claim as free and
-/// before it sends its attempt; the second entry settles; the first wakes and sends what it meant to.
+/// Guards against a settlement that runs twice: a caller sends it to two entries. The first entry
+/// pauses after it read the claim as free and before it sends its attempt, the second one settles,
+/// and the first resumes and sends its attempt. Both callers get the same receipt.
 #[tokio::test]
-async fn an_entry_frozen_after_it_read_the_claim() {
+async fn a_settlement_runs_once_if_an_entry_pauses_after_reading_its_claim() {
     let mut basin = basin().await;
     let settlement = Request::settlement("twice-asked");
     pause(&mut basin.backends[0].sidecar);
@@ -65,10 +65,10 @@
     checker.check(&basin.executions().await);
 }
 
-/// The same with the attempt already on its way: it waits at a frozen sidecar while its entry
-/// freezes too, and the second entry's attempt meets it there.
+/// The same failure with the first attempt sent: it waits at a paused sidecar while its entry
+/// pauses as well, and the second entry's attempt arrives at the same sidecar.
 #[tokio::test]
-async fn an_entry_frozen_after_it_sent_its_attempt() {
+async fn a_settlement_runs_once_if_an_entry_pauses_after_sending_its_attempt() {
     let mut basin = basin().await;
     let first_settlement = warm_up(&basin).await;
     let settlement = Request::settlement("twice-sent");
@@ -92,10 +92,10 @@
     checker.check(&executions);
 }
 
-/// The clerk gives up, and a settlement that nobody waits for any more must not be paid later.
-/// The attempt lies at a frozen sidecar until its expiry has passed; its entry is frozen as well, so
-/// that nothing takes the attempt back. The sidecar wakes first and finds the attempt.
-async fn an_attempt_past_its_expiry_does_not_run(request: Request) {
+/// Guards against a call that runs after its deadline: the attempt waits at a paused sidecar past
+/// its expiry, and its entry is paused too, so that it cannot revoke the attempt. The sidecar
+/// resumes first.
+async fn assert_expired_attempt_does_not_run(request: Request) {
     let mut basin = basin().await;
     warm_up(&basin).await;
     let request = request.with_deadline(SHORT_DEADLINE_MS);
@@ -107,43 +107,43 @@
     tokio::time::sleep(PAST_DEADLINE).await;
     resume(&mut basin.backends[0].sidecar);
     let backend = &basin.backends[0];
-    wait_until("the late attempt is refused", async || {
-        // The second, if the attempt was just past the ledger as the sidecar froze.
+    wait_until("the expired attempt is refused", async || {
+        // `ExpiredInQueue` if the attempt had just passed the ledger as the sidecar paused.
         backend.counter("refused.AttemptExpired").await > 0
             || backend.counter("refused.ExpiredInQueue").await > 0
     })
     .await;
-    let executed_late = basin.executions().await.len() - 1;
+    let executions_after_expiry = basin.executions().await.len() - 1;
     resume(&mut basin.entries[0].process);
     let first = await_answer(first).await;
-    let again = request.clone().with_deadline("20000");
-    let again = again.send_until_final(&basin.entries[1]).await;
+    let repeated = request.clone().with_deadline("20000");
+    let repeated = repeated.send_until_final(&basin.entries[1]).await;
 
-    assert_eq!(executed_late, 0);
+    assert_eq!(executions_after_expiry, 0);
     assert!(!first.is_complete(), "{first:?}");
-    assert!(again.is_complete(), "{again:?}");
+    assert!(repeated.is_complete(), "{repeated:?}");
     assert_eq!(basin.executions().await.len(), 2);
 }
 
-/// A settlement, guarded by its claim as well as by the expiry.
+/// A settlement, which its claim guards as well as the expiry.
 #[tokio::test]
-async fn a_sidecar_frozen_past_the_expiry_of_a_settlement() {
+async fn a_settlement_does_not_run_if_the_sidecar_pauses_past_its_expiry() {
     let settlement = Request::settlement("late");
-    an_attempt_past_its_expiry_does_not_run(settlement).await;
+    assert_expired_attempt_does_not_run(settlement).await;
 }
 
-/// A repeatable call, guarded by the expiry alone.
+/// A repeatable call, which only the expiry guards.
 #[tokio::test]
-async fn a_sidecar_frozen_past_the_expiry_of_a_repeatable_call() {
+async fn a_repeatable_call_does_not_run_if_the_sidecar_pauses_past_its_expiry() {
     let balance = Request::balance("late");
-    an_attempt_past_its_expiry_does_not_run(balance).await;
+    assert_expired_attempt_does_not_run(balance).await;
 }
 
-/// The clerk is told that the settlement did not run, and it does not run later either.
-/// It waits in the queue of a sidecar that freezes until the deadline has passed; as the sidecar
-/// wakes, a slot is free, and the queue still holds the attempt.
+/// Guards against a settlement that runs after it was reported as not run: it waits in the queue of
+/// a sidecar that pauses until the deadline has passed. As the sidecar resumes, a slot is free and
+/// the attempt is still queued.
 #[tokio::test]
-async fn a_sidecar_frozen_with_an_attempt_in_its_queue() {
+async fn a_queued_settlement_does_not_run_if_the_sidecar_pauses_past_its_deadline() {
     let backend = BackendPlan::ledger(1).with_one_slot();
     let mut basin = DeltaBasin::start(BasinPlan::new([backend])).await;
     basin.backends[0].hold_calls(true).await;
@@ -170,9 +170,9 @@
     checker.check(&basin.executions().await);
 }
 
-/// Freezes the sidecar after it claimed a settlement and before it made the call, and lets the
-/// deadline pass; none if the call went out too soon for that.
-async fn freeze_between_claim_and_call(
+/// Pauses the sidecar after it claimed a settlement and before it makes the call, until the
+/// deadline has passed; `None` if the call was made before the pause.
+async fn pause_between_claim_and_call(
     basin: &mut DeltaBasin,
     settlement: &Request,
 ) -> Option<Answer> {
@@ -182,7 +182,7 @@
     };
     let executed = basin.executions().await.len();
     let committed = basin.platform.counts().await.transactions_committed;
-    // The platform answers half of this after the claim took effect: time to freeze the sidecar.
+    // Half of the latency passes after the claim took effect; the sidecar is paused in that time.
     basin.platform.set_faults(slow(900)).await;
     let answer = settlement.send_in_background(&basin.entries[0]);
     wait_until("the claim takes effect", async || {
@@ -192,25 +192,25 @@
     pause(&mut basin.backends[0].sidecar);
     basin.platform.set_faults(slow(0)).await;
     let answer = await_answer(answer).await;
-    let is_frozen_in_time = basin.executions().await.len() == executed;
-    if !is_frozen_in_time {
+    let is_paused_in_time = basin.executions().await.len() == executed;
+    if !is_paused_in_time {
         resume(&mut basin.backends[0].sidecar);
     }
-    is_frozen_in_time.then_some(answer)
+    is_paused_in_time.then_some(answer)
 }
 
-/// The clerk hears that the outcome is unknown, settles again, and it is paid once, not twice.
-/// The sidecar freezes after its claim took effect and before it made the call, and wakes when the
-/// deadline has passed: the claim is its own, but the call would come too late.
+/// Guards against a call that is made after its deadline, and a settlement that runs twice: the
+/// sidecar pauses after its claim took effect and before the call, and resumes after the deadline.
+/// It still holds the claim, but must not make the call.
 #[tokio::test]
-async fn a_sidecar_frozen_between_claim_and_call() {
+async fn a_claimed_settlement_does_not_run_if_the_sidecar_pauses_past_its_deadline() {
     let mut basin = basin().await;
     warm_up(&basin).await;
     basin.backends[0].wait_for_unsettled(0).await;
-    for number in 0..MAX_TRIES_TO_FREEZE {
+    for number in 0..MAX_PAUSE_TRIES {
         let settlement = Request::settlement(&format!("frozen-{number}"));
         let short = settlement.clone().with_deadline("3000");
-        let Some(answer) = freeze_between_claim_and_call(&mut basin, &short).await else {
+        let Some(answer) = pause_between_claim_and_call(&mut basin, &short).await else {
             continue;
         };
         let before = basin.executions().await.len();
@@ -218,16 +218,16 @@
         resume(&mut basin.backends[0].sidecar);
         basin.backends[0].wait_for_unsettled(0).await;
         let after = basin.executions().await.len();
-        let again = settlement.send_until_final(&basin.entries[1]).await;
+        let repeated = settlement.send_until_final(&basin.entries[1]).await;
 
         assert!(!answer.is_complete(), "{answer:?}");
         assert_eq!(before, after, "the call was made late");
-        assert!(again.is_complete(), "{again:?}");
+        assert!(repeated.is_complete(), "{repeated:?}");
         let mut checker = AnswerChecker::default();
         checker.record(&settlement, Some(answer));
-        checker.record(&settlement, Some(again));
+        checker.record(&settlement, Some(repeated));
         checker.check(&basin.executions().await);
         return;
     }
-    panic!("the sidecar was never frozen in time");
+    panic!("the sidecar was not paused in time in {MAX_PAUSE_TRIES} tries");
 }
--- a/crates/standins/tests/failure_random.rs
+++ b/crates/standins/tests/failure_random.rs
@@ -1,8 +1,8 @@
-//! Settlements under a random sequence of failures, by fixed seeds.
+//! Settlements under random sequences of failures, with fixed seeds.
 //!
-//! Kills, freezes, silent and cut connections, outages, lost answers and late writes come one on
-//! top of the other while settlements are made. Afterwards everything is mended, and each settlement
-//! that was not refused as not run is asked for again until its answer is final.
+//! Kills, pauses, silent and closed connections, outages, lost answers and late writes overlap while
+//! settlements are made. Then all failures end, and each settlement that was not refused as not run
+//! is sent again until its answer is final.
 
 mod support;
 
@@ -17,40 +17,40 @@
 };
 use tokio::task::JoinHandle;
 
-/// Failures in one run.
+/// Number of failures in a run.
 const STEPS: usize = 24;
 /// Settlements made between two failures.
-const SETTLEMENTS_A_STEP: usize = 2;
-/// Time between two failures, so that work is under way at each.
-const STEP: Duration = Duration::from_millis(150);
-/// Makes a call of the stand-in take about as long as two steps, so that failures meet it half-way.
+const SETTLEMENTS_PER_STEP: usize = 2;
+/// Time between two failures, so that calls are in progress at each failure.
+const STEP_DURATION: Duration = Duration::from_millis(150);
+/// Makes a call take about as long as two steps, so that failures occur while it runs.
 const SLOW_FACTOR: f64 = 60.0;
-/// Deadline of a settlement while failures go on.
+/// Deadline of a settlement during failures.
 const DEADLINE_MS: &str = "5000";
 
-/// What fails next.
+/// A failure, or the end of a pause.
 #[derive(Debug, Clone, Copy)]
 enum Failure {
     SilentConnections,
-    CutConnections,
+    ClosedConnections,
     Outage,
     LostAnswers(u32),
     LateWrites(u32),
-    EntryFrozen(bool),
-    SidecarFrozen(bool),
+    EntryPaused(bool),
+    SidecarPaused(bool),
     EntryKilled,
     SidecarKilled,
 }
 
-/// A run: the processes, the failures under way, and what was asked.
+/// The processes, current failures and requests of a run.
 struct Run {
     basin: DeltaBasin,
     random: SmallRng,
-    is_entry_frozen: bool,
-    is_sidecar_frozen: bool,
-    is_platform_away: bool,
+    is_entry_paused: bool,
+    is_sidecar_paused: bool,
+    is_platform_unavailable: bool,
     entries_started: u32,
-    asked: Vec<(Request, Vec<JoinHandle<Option<Answer>>>)>,
+    requests: Vec<(Request, Vec<JoinHandle<Option<Answer>>>)>,
 }
 
 impl Run {
@@ -68,32 +68,32 @@
         Self {
             basin,
             random: SmallRng::seed_from_u64(seed),
-            is_entry_frozen: false,
-            is_sidecar_frozen: false,
-            is_platform_away: false,
+            is_entry_paused: false,
+            is_sidecar_paused: false,
+            is_platform_unavailable: false,
             entries_started: 0,
-            asked: Vec::new(),
+            requests: Vec::new(),
         }
     }
 
     async fn step(&mut self, step: usize) {
-        for number in 0..SETTLEMENTS_A_STEP {
+        for number in 0..SETTLEMENTS_PER_STEP {
             let settlement = Request::settlement(&format!("step-{step}-{number}"));
             let short = settlement.clone().with_deadline(DEADLINE_MS);
-            let ask = |entry| short.send_in_background(entry);
-            // Every second clerk loses patience and asks at both entries at once.
+            let send = |entry| short.send_in_background(entry);
+            // Every second settlement is sent to both entries at once.
             let answers = if number % 2 == 0 {
-                self.basin.entries.iter().map(ask).collect()
+                self.basin.entries.iter().map(send).collect()
             } else {
                 let entry = self.random.random_range(0..self.basin.entries.len());
-                vec![ask(&self.basin.entries[entry])]
+                vec![send(&self.basin.entries[entry])]
             };
-            self.asked.push((settlement, answers));
+            self.requests.push((settlement, answers));
         }
-        // The callers' tasks get to send before the next failure.
-        tokio::time::sleep(STEP).await;
-        // An outage lasts for one step; a longer one would only have all settlements refused.
-        if self.is_platform_away {
+        // Gives the callers' tasks time to send before the next failure.
+        tokio::time::sleep(STEP_DURATION).await;
+        // An outage lasts for one step; in a longer one, all settlements would just be refused.
+        if self.is_platform_unavailable {
             self.set_outage(false).await;
         }
         let failure = self.next_failure();
@@ -103,12 +103,12 @@
     fn next_failure(&mut self) -> Failure {
         match self.random.random_range(0..9) {
             0 => Failure::SilentConnections,
-            1 => Failure::CutConnections,
+            1 => Failure::ClosedConnections,
             2 => Failure::Outage,
             3 => Failure::LostAnswers(self.random.random_range(1..4)),
             4 => Failure::LateWrites(self.random.random_range(1..4)),
-            5 => Failure::EntryFrozen(!self.is_entry_frozen),
-            6 => Failure::SidecarFrozen(!self.is_sidecar_frozen),
+            5 => Failure::EntryPaused(!self.is_entry_paused),
+            6 => Failure::SidecarPaused(!self.is_sidecar_paused),
             7 => Failure::EntryKilled,
             _ => Failure::SidecarKilled,
         }
@@ -120,7 +120,7 @@
             Failure::SilentConnections => {
                 self.basin.backends[0].relay().silence_open().await;
             }
-            Failure::CutConnections => {
+            Failure::ClosedConnections => {
                 self.basin.backends[1].relay().cut_open().await;
             }
             Failure::Outage => self.set_outage(true).await,
@@ -132,9 +132,9 @@
                 };
                 self.basin.platform.set_faults(faults).await;
             }
-            Failure::LateWrites(count) => self.late_writes(count).await,
-            Failure::EntryFrozen(is_frozen) => self.freeze_entry(is_frozen),
-            Failure::SidecarFrozen(is_frozen) => self.freeze_sidecar(is_frozen),
+            Failure::LateWrites(count) => self.set_late_writes(count).await,
+            Failure::EntryPaused(is_paused) => self.set_entry_paused(is_paused),
+            Failure::SidecarPaused(is_paused) => self.set_sidecar_paused(is_paused),
             Failure::EntryKilled => self.replace_entry().await,
             Failure::SidecarKilled => {
                 kill(&mut self.basin.backends[1].sidecar);
@@ -143,12 +143,12 @@
         }
     }
 
-    async fn set_outage(&mut self, is_away: bool) {
-        self.basin.platform.set_outage(is_away).await;
-        self.is_platform_away = is_away;
+    async fn set_outage(&mut self, is_unavailable: bool) {
+        self.basin.platform.set_outage(is_unavailable).await;
+        self.is_platform_unavailable = is_unavailable;
     }
 
-    async fn late_writes(&self, count: u32) {
+    async fn set_late_writes(&self, count: u32) {
         let faults = PlatformFaults {
             late_effects: Some(count),
             late_effect_ms: Some(2000),
@@ -157,27 +157,27 @@
         self.basin.platform.set_faults(faults).await;
     }
 
-    fn freeze_entry(&mut self, is_frozen: bool) {
+    fn set_entry_paused(&mut self, is_paused: bool) {
         let process = &mut self.basin.entries[0].process;
-        if is_frozen {
+        if is_paused {
             pause(process);
         } else {
             resume(process);
         }
-        self.is_entry_frozen = is_frozen;
+        self.is_entry_paused = is_paused;
     }
 
-    fn freeze_sidecar(&mut self, is_frozen: bool) {
+    fn set_sidecar_paused(&mut self, is_paused: bool) {
         let process = &mut self.basin.backends[0].sidecar;
-        if is_frozen {
+        if is_paused {
             pause(process);
         } else {
             resume(process);
         }
-        self.is_sidecar_frozen = is_frozen;
+        self.is_sidecar_paused = is_paused;
     }
 
-    /// Kills the entry that is never frozen, and starts another.
+    /// Kills the entry that is never paused and starts another.
     async fn replace_entry(&mut self) {
         let mut entry = self.basin.entries.remove(1);
         kill(&mut entry.process);
@@ -186,15 +186,15 @@
         self.basin.add_entry(&host).await;
     }
 
-    /// Mends everything, and waits until each entry knows all hosts as they are now.
-    async fn mend(&mut self) {
+    /// Ends all failures and waits until each entry has the current host list.
+    async fn end_failures(&mut self) {
         self.set_outage(false).await;
-        self.late_writes(0).await;
-        if self.is_entry_frozen {
-            self.freeze_entry(false);
+        self.set_late_writes(0).await;
+        if self.is_entry_paused {
+            self.set_entry_paused(false);
         }
-        if self.is_sidecar_frozen {
-            self.freeze_sidecar(false);
+        if self.is_sidecar_paused {
+            self.set_sidecar_paused(false);
         }
         let version = self.basin.platform.host_list_version().await;
         for entry in &self.basin.entries {
@@ -203,12 +203,12 @@
         }
     }
 
-    /// Asks for each settlement until its answer is final, and judges all answers.
+    /// Sends each settlement until its answer is final and checks all answers.
     ///
-    /// What was refused as not run is left at that: it must never show up as executed.
+    /// Settlements that were refused as not run are not sent again: they must not have run.
     async fn check_answers(mut self) {
         let (mut checker, mut complete, mut not_run) = (AnswerChecker::default(), 0, 0);
-        for (settlement, answers) in std::mem::take(&mut self.asked) {
+        for (settlement, answers) in std::mem::take(&mut self.requests) {
             let mut is_not_run = true;
             for answer in answers {
                 let answer = answer.await.expect("the caller's task ends");
@@ -229,18 +229,21 @@
         }
         checker.check(&self.basin.executions().await);
         println!("complete: {complete}, not run: {not_run}");
-        assert!(complete > STEPS / 2, "settlements go through all the same");
+        assert!(
+            complete > STEPS / 2,
+            "settlements complete despite failures"
+        );
     }
 }
 
-/// Clerks settle through the worst day of the year. Whatever came, each settlement was paid at most
-/// once, each receipt is its own, and whoever was told "not run" was not charged.
+/// Guards against combinations of failures after which a settlement runs twice, a receipt belongs
+/// to another settlement, or one runs although it was reported as not run.
 async fn settlements_survive_failures(seed: u64) {
     let mut run = Run::start(seed).await;
     for step in 0..STEPS {
         run.step(step).await;
     }
-    run.mend().await;
+    run.end_failures().await;
     run.check_answers().await;
 }
 
--- a/crates/standins/tests/failure_two_at_once.rs
+++ b/crates/standins/tests/failure_two_at_once.rs
@@ -1,4 +1,4 @@
-//! Two failures at once.
+//! Two simultaneous failures.
 
 mod support;
 
@@ -10,17 +10,17 @@
 };
 use tokio::task::JoinHandle;
 
-/// Deadline of a request whose fate cannot be settled before the platform is back.
+/// Deadline of a request whose outcome cannot be determined before the platform is available.
 const SHORT_DEADLINE_MS: &str = "4000";
 
-/// Two entries and one host of the grower ledger, with a relay before its sidecar.
+/// Two entries and one host of the grower ledger, with a relay in front of its sidecar.
 async fn basin() -> DeltaBasin {
     let backend = BackendPlan::ledger(1).with_relay();
     DeltaBasin::start(BasinPlan::new([backend])).await
 }
 
-/// A settlement that the backend server has begun for the first entry.
-async fn held(basin: &DeltaBasin) -> (Request, JoinHandle<Option<Answer>>) {
+/// Starts a settlement at the first entry that the backend server holds.
+async fn start_held_settlement(basin: &DeltaBasin) -> (Request, JoinHandle<Option<Answer>>) {
     basin.backends[0].hold_calls(true).await;
     let settlement = Request::settlement("held").with_deadline(SHORT_DEADLINE_MS);
     let answer = settlement.send_in_background(&basin.entries[0]);
@@ -28,13 +28,13 @@
     (settlement, answer)
 }
 
-/// The clerk is told that the outcome is unknown, before and after the platform is back, and the
-/// settlement is not made again. Table and sidecar go together while the call is held: neither can
-/// be asked, and the claim is all that remains.
+/// Guards against a settlement that runs twice: table and sidecar fail during the call, so neither
+/// can be queried and only the claim remains. The outcome is unknown, also after the platform is
+/// available again, and the call is not repeated.
 #[tokio::test]
-async fn the_table_and_the_sidecar_fail_under_a_call() {
+async fn a_running_settlement_stays_unknown_if_the_platform_and_the_sidecar_fail() {
     let mut basin = basin().await;
-    let (settlement, answer) = held(&basin).await;
+    let (settlement, answer) = start_held_settlement(&basin).await;
 
     basin.platform.set_outage(true).await;
     kill(&mut basin.backends[0].sidecar);
@@ -42,21 +42,21 @@
     basin.backends[0].hold_calls(false).await;
     basin.platform.set_outage(false).await;
     basin.replace_sidecar(0).await;
-    let again = settlement.send_until_final(&basin.entries[1]).await;
+    let repeated = settlement.send_until_final(&basin.entries[1]).await;
 
     assert_eq!((answer.code, answer.ran.as_str()), (4001, "unknown"));
-    assert_eq!((again.code, again.ran.as_str()), (4001, "unknown"));
+    assert_eq!((repeated.code, repeated.ran.as_str()), (4001, "unknown"));
     assert_eq!(basin.executions().await.len(), 1);
 }
 
-/// The clerk is not told "not run", though it did not: the entry cannot know. The settlement waits in
-/// the sidecar's queue as table and sidecar go, so its claim's version cannot be cancelled. Once
-/// the platform is back, the same key settles, once.
+/// Guards against a false "not run": table and sidecar fail while the settlement is queued at the
+/// sidecar, so its claim's version cannot be cancelled and the entry must answer "unknown". Once
+/// the platform is available, the same key settles once.
 #[tokio::test]
-async fn the_table_and_the_sidecar_fail_before_the_claim() {
+async fn a_queued_settlement_runs_once_if_the_platform_and_the_sidecar_fail() {
     let backend = BackendPlan::ledger(1).with_one_slot();
     let mut basin = DeltaBasin::start(BasinPlan::new([backend])).await;
-    let (_held, _answer) = held(&basin).await;
+    let (_held, _answer) = start_held_settlement(&basin).await;
     let settlement = Request::settlement("queued").with_deadline(SHORT_DEADLINE_MS);
     let answer = settlement.send_in_background(&basin.entries[0]);
     basin.backends[0].wait_for_queued(1).await;
@@ -67,73 +67,73 @@
     basin.backends[0].hold_calls(false).await;
     basin.platform.set_outage(false).await;
     basin.replace_sidecar(0).await;
-    let again = settlement.send_until_final(&basin.entries[1]).await;
+    let repeated = settlement.send_until_final(&basin.entries[1]).await;
 
     assert_eq!((answer.code, answer.ran.as_str()), (4001, "unknown"));
-    assert!(again.is_complete(), "{again:?}");
+    assert!(repeated.is_complete(), "{repeated:?}");
     let mut checker = AnswerChecker::default();
     checker.record(&settlement, Some(answer));
-    checker.record(&settlement, Some(again));
+    checker.record(&settlement, Some(repeated));
     checker.check(&basin.executions().await);
 }
 
-/// The clerk sees the connection break, asks at another entry, and gets the one receipt. The entry
-/// dies as all connections to the sidecar go silent, also the one of the entry that is asked next.
+/// Guards against a settlement that runs twice or a lost receipt: the entry dies while all
+/// connections to the sidecar go silent, including that of the entry that gets the retry.
 #[tokio::test]
-async fn an_entry_dies_and_the_connections_go_silent() {
+async fn a_settlement_runs_once_if_an_entry_is_killed_and_connections_go_silent() {
     let mut basin = basin().await;
-    let (settlement, answer) = held(&basin).await;
+    let (settlement, answer) = start_held_settlement(&basin).await;
 
     basin.backends[0].relay().silence_open().await;
     kill(&mut basin.entries[0].process);
-    let again = settlement
+    let repeated = settlement
         .clone()
         .with_deadline("20000")
         .send_in_background(&basin.entries[1]);
     basin.backends[0].hold_calls(false).await;
-    let (answer, again) = (answer.await.unwrap(), await_answer(again).await);
+    let (answer, repeated) = (answer.await.unwrap(), await_answer(repeated).await);
 
     assert!(answer.is_none(), "{answer:?}");
-    assert!(again.is_complete(), "{again:?}");
+    assert!(repeated.is_complete(), "{repeated:?}");
     let mut checker = AnswerChecker::default();
     checker.record(&settlement, answer);
-    checker.record(&settlement, Some(again));
+    checker.record(&settlement, Some(repeated));
     checker.check(&basin.executions().await);
 }
 
-/// The clerk gets the receipt, once: the connection goes silent under the call, so the entry has to
-/// fetch the outcome, and the platform loses the answers to the writes that keep it.
+/// Guards against a lost receipt: the connection goes silent during the call, so the entry must
+/// fetch the outcome, and the platform loses the answers to the writes that store it.
 #[tokio::test]
-async fn a_connection_goes_silent_and_the_platform_loses_answers() {
+async fn a_settlement_completes_if_connections_go_silent_and_the_platform_loses_answers() {
     let basin = basin().await;
     basin.backends[0].hold_calls(true).await;
     let settlement = Request::settlement("both");
     let answer = settlement.send_in_background(&basin.entries[0]);
     basin.backends[0].wait_for_executions(1).await;
-    let lose = PlatformFaults {
+    let lost_answers = PlatformFaults {
         lose_answers: Some(3),
         ..PlatformFaults::default()
     };
 
-    basin.platform.set_faults(lose).await;
+    basin.platform.set_faults(lost_answers).await;
     basin.backends[0].relay().silence_open().await;
     basin.backends[0].hold_calls(false).await;
     let answer = await_answer(answer).await;
     basin.backends[0].wait_for_unsettled(0).await;
-    let again = settlement.send_until_final(&basin.entries[1]).await;
+    let repeated = settlement.send_until_final(&basin.entries[1]).await;
 
     assert!(answer.is_complete(), "{answer:?}");
-    assert_eq!(again.body, answer.body);
+    assert_eq!(repeated.body, answer.body);
     let mut checker = AnswerChecker::default();
     checker.record(&settlement, Some(answer));
-    checker.record(&settlement, Some(again));
+    checker.record(&settlement, Some(repeated));
     checker.check(&basin.executions().await);
 }
 
-/// An operator is told that a suspension is accepted; the entry that said so dies, and the platform
-/// goes down, in the same moment. The suspension is in force at the entries that remain.
+/// Guards against a lost edit: the entry that accepted a suspension dies right after its reply, and
+/// the platform fails at the same moment. The suspension must be in force at the other entries.
 #[tokio::test]
-async fn the_accepting_entry_and_the_platform_fail_after_an_edit() {
+async fn an_accepted_edit_survives_its_entry_and_a_platform_outage() {
     let plan = BasinPlan::new([BackendPlan::ledger(1)]).with_entries(3);
     let mut basin = DeltaBasin::start(plan).await;
     let suspend = json!({"kind": "suspend", "id": "driver-trial"});
@@ -151,18 +151,19 @@
         assert_eq!((answer.code, answer.ran.as_str()), (2003, "no"));
     }
     basin.platform.set_outage(false).await;
-    wait_until("the table answers again", async || {
+    wait_until("the table is available", async || {
         basin.entries[0].edit(0, "omar", &suspend).await.status == 409
     })
     .await;
     assert!(basin.executions().await.is_empty());
 }
 
-/// The clerk hears "not run" at a second entry, and then settles, once. Sidecar and first entry
-/// freeze with an attempt between them that may still claim; the second entry cannot ask about it
-/// and cancels the version it carries. The sidecar wakes first, and the attempt's claim is refused.
+/// Guards against a settlement that runs after it was reported as not run: sidecar and first entry
+/// pause while an attempt that may still claim is in transit between them. The second entry cannot
+/// query the sidecar, so it cancels the version that the attempt carries. The sidecar resumes
+/// first, and must refuse the attempt's claim.
 #[tokio::test]
-async fn the_entry_and_the_sidecar_freeze_with_an_attempt_between_them() {
+async fn a_cancelled_attempt_does_not_run_if_the_entry_and_the_sidecar_pause() {
     let mut basin = DeltaBasin::start(BasinPlan::new([BackendPlan::ledger(1)])).await;
     for (number, entry) in basin.entries.iter().enumerate() {
         let warm_up = Request::settlement(&format!("warm-up-{number}"));
