--- a/crates/amaranthscale/src/gateway/dialect.rs
+++ b/crates/amaranthscale/src/gateway/dialect.rs
@@ -36,7 +36,7 @@
     pub key: HeaderName,
     /// The organisation, forwarded to the server.
     pub organisation: HeaderName,
-    /// The server that the request is meant for.
+    /// The server incarnation that the request is meant for.
     pub target: HeaderName,
     /// The server's stamp on an answer.
     pub stamp: HeaderName,
@@ -62,7 +62,7 @@
     /// Key that stage servers read the pieces' input by.
     pub piece_key: String,
     /// Value of the answer relative to others, in tokens of work; 0 if not known.
-    pub worth_tokens: u64,
+    pub value_tokens: u64,
     /// Tokens of the prompt; 0 if not known.
     pub prompt_tokens: u64,
     /// Id of the last prefix of the prompt that other requests share.
--- a/crates/standins/tests/orders_planner.rs
+++ b/crates/standins/tests/orders_planner.rs
@@ -12,7 +12,7 @@
 use amaranthscale_core::version::{CompiledTree, Placement, PlanLimits, Service, TreeEdit};
 use amaranthscale_standins::backend::BackendFaults;
 use amaranthscale_standins::engine::EngineOrder;
-use amaranthscale_standins::http::{HttpClient, Running};
+use amaranthscale_standins::http::{HttpClient, RunningStandin};
 use serde_json::Value;
 use support::{
     OrdersFixture, compiled_tree, fast_planner_settings, host_id, model_id, poll_until,
@@ -26,7 +26,7 @@
 const RENEWALS: u64 = 3;
 
 /// Engines with their sidecars, listed as hosts.
-async fn engines(bench: &OrdersFixture, count: u32) -> Vec<(Running, Sidecar)> {
+async fn engines(bench: &OrdersFixture, count: u32) -> Vec<(RunningStandin, Sidecar)> {
     let mut engines = Vec::new();
     for number in 0..count {
         let engine = start_engine(true).await;
