--- a/crates/standins/tests/standin_service.rs
+++ b/crates/standins/tests/standin_service.rs
@@ -1,4 +1,4 @@
-//! The stand-in of a plain service, and each of its faults.
+//! The service stand-in, and each of its faults.
 
 #![expect(clippy::unwrap_used, reason = "a fixture that fails ends its test")]
 
@@ -39,7 +39,7 @@
         self.client.post(url, &call_headers(call_id), "{}").await
     }
 
-    /// Calls in the background, over a connection of its own.
+    /// Sends a call in the background, over a separate connection.
     fn spawn_call(&self, call_id: &'static str) -> JoinHandle<Result<HttpReply, HttpError>> {
         let url = self.service.url("/settle/grower");
         tokio::spawn(async move {
@@ -83,8 +83,8 @@
 
 #[tokio::test]
 async fn a_held_call_runs_at_once_but_is_answered_on_release() {
-    // A settlement runs, but its answer does not come until much later.
-    // Whoever takes the long wait for a call that did not run pays twice.
+    // A settlement runs, but its answer arrives much later. A caller that takes the delay for a
+    // call that did not run would pay twice.
     let fixture = Fixture::start().await;
     let hold = |hold| BackendFaults {
         hold: Some(hold),
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test]
-async fn a_frozen_service_starts_nothing_until_it_thaws() {
+async fn a_frozen_service_starts_no_call_until_unfrozen() {
     let fixture = Fixture::start().await;
     let frozen = |frozen| BackendFaults {
         frozen: Some(frozen),
@@ -124,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn a_failed_call_has_run() {
+async fn a_failed_call_is_recorded_as_an_execution() {
     let fixture = Fixture::start().await;
     let faults = BackendFaults {
         fail_next: Some(1),
@@ -141,9 +141,9 @@
 }
 
 #[tokio::test]
-async fn a_broken_answer_shows_as_broken() {
-    // A clerk's call is answered, but the connection closes after half of the answer.
-    // The call has run; the half must not pass for the whole.
+async fn an_incomplete_answer_is_reported_as_broken_off() {
+    // The connection closes after half of the answer. The call has run, and the half must not be
+    // taken for the whole answer.
     let fixture = Fixture::start().await;
     let faults = BackendFaults {
         break_mid_stream: Some(1),
@@ -161,7 +161,7 @@
 }
 
 #[tokio::test]
-async fn a_dead_service_takes_no_connection() {
+async fn a_dead_service_accepts_no_connections() {
     let mut fixture = Fixture::start().await;
     let faults = BackendFaults {
         die: Some(true),
@@ -170,7 +170,7 @@
 
     let url = fixture.service.url("/admin/faults");
     let body = serde_json::to_vec(&faults).unwrap();
-    // Its last answer may or may not make it out.
+    // The answer may or may not be sent before the service ends.
     let _ = fixture.client.post(url, &[], body).await;
     fixture.service.wait_until_stopped().await;
 
