--- a/crates/standins/tests/failure_bad_requests.rs
+++ b/crates/standins/tests/failure_bad_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that cannot be served: each gets its own code, and nothing runs.
+//! Invalid requests are refused with a result code for each cause, and do not run.
 
 mod support;
 
@@ -6,24 +6,25 @@
 
 use serde_json::json;
 use support::{
-    BackendPlan, DRIVER_TRIAL_KEY, DeltaBasin, Judge, MILL_ACCOUNTS_KEY, Plan, Request, answer_of,
+    AnswerChecker, BackendPlan, BasinPlan, DRIVER_TRIAL_KEY, DeltaBasin, MILL_ACCOUNTS_KEY,
+    Request, await_answer,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Settings under which a body is soon too large, and a caller soon too slow.
+/// Entry settings with a small body limit and a short read timeout.
 const NARROW_LIMITS: &str = "[limits]\nmax_body_bytes = 4096\nread_timeout_ms = 500\n";
 
-/// One entry with narrow limits and one host of the grower ledger.
+/// One entry with [`NARROW_LIMITS`] and one host of the grower ledger.
 async fn basin() -> DeltaBasin {
-    let plan = Plan::new([BackendPlan::ledger(1)]);
+    let plan = BasinPlan::new([BackendPlan::ledger(1)]);
     DeltaBasin::start(plan.with_entries(1).with_entry_settings(NARROW_LIMITS)).await
 }
 
-/// A settlement that nobody may make, and the code that says why.
+/// Invalid settlements, each with its expected result code.
 fn bad_requests() -> Vec<(Request, u16)> {
     let settlement = || Request::settlement("bad");
-    let long = json!({"marker": "x".repeat(5000)}).to_string();
+    let long_body = json!({"marker": "x".repeat(5000)}).to_string();
     vec![
         (settlement().with_body("{\"marker\": "), 2001),
         (settlement().with_body("tonnes=17"), 2001),
@@ -35,7 +36,7 @@
         (settlement().with_path("/v1/pipelines/"), 2004),
         (settlement().with_path("/v1/services/no-such/x"), 2005),
         (settlement().with_key(None), 2006),
-        (settlement().with_body(long), 2008),
+        (settlement().with_body(long_body), 2008),
         (settlement().with_deadline("0"), 2009),
         (settlement().with_deadline("-1"), 2009),
         (settlement().with_deadline("soon"), 2009),
@@ -45,10 +46,10 @@
     ]
 }
 
-/// A caller with a mistake in its request learns which, by a code of its own, and is told that
-/// nothing ran. The causes are the caller's: syntax, key, path, size, deadline.
+/// Guards against an invalid request that runs, or whose code does not state the caller's mistake:
+/// syntax, key, path, size or deadline.
 #[tokio::test]
-async fn each_mistake_has_its_own_code() {
+async fn each_invalid_request_gets_its_own_code_and_does_not_run() {
     let basin = basin().await;
     let entry = &basin.entries[0];
     let suspend = json!({"kind": "suspend", "id": "driver-trial"});
@@ -56,7 +57,7 @@
     suspended.success().unwrap();
 
     for (request, code) in bad_requests() {
-        let answer = request.ask(entry).await.unwrap();
+        let answer = request.send(entry).await.unwrap();
 
         assert_eq!(answer.code, code, "{request:?}");
         assert_eq!(answer.ran, "no", "{request:?}");
@@ -64,37 +65,39 @@
     assert!(basin.executions().await.is_empty());
 }
 
-/// A clerk uses the key of one settlement for another, by mistake: the second is refused while the
-/// first runs and after it, and the first keeps its receipt.
+/// Guards against an answer to the wrong request: a caller uses the key of one settlement for
+/// another, by mistake. The second is refused while the first runs and after it; the first keeps
+/// its receipt.
 #[tokio::test]
-async fn a_key_comes_again_with_another_body() {
+async fn a_key_reused_with_another_body_is_refused() {
     let basin = basin().await;
     let entry = &basin.entries[0];
     let first = Request::settlement("first");
     let second = first.clone().with_body(json!({"tonnes": 99}).to_string());
-    basin.backends[0].hold(true).await;
-    let first_answer = first.asking(entry);
+    basin.backends[0].hold_calls(true).await;
+    let first_answer = first.send_in_background(entry);
     basin.backends[0].wait_for_executions(1).await;
 
-    let meanwhile = second.ask(entry).await.unwrap();
-    basin.backends[0].hold(false).await;
-    let first_answer = answer_of(first_answer).await;
-    let afterwards = second.ask(entry).await.unwrap();
-    let again = first.ask(entry).await.unwrap();
-
-    assert_eq!((meanwhile.code, meanwhile.ran.as_str()), (2007, "no"));
-    assert_eq!((afterwards.code, afterwards.ran.as_str()), (2007, "no"));
-    assert_eq!(again.body, first_answer.body);
-    let mut judge = Judge::default();
-    judge.take(&first, Some(first_answer));
-    judge.take(&second, Some(meanwhile));
-    judge.take(&second, Some(afterwards));
-    judge.check(&basin.executions().await);
+    let during = second.send(entry).await.unwrap();
+    basin.backends[0].hold_calls(false).await;
+    let first_answer = await_answer(first_answer).await;
+    let after = second.send(entry).await.unwrap();
+    let repeated = first.send(entry).await.unwrap();
+
+    assert_eq!((during.code, during.ran.as_str()), (2007, "no"));
+    assert_eq!((after.code, after.ran.as_str()), (2007, "no"));
+    assert_eq!(repeated.body, first_answer.body);
+    let mut checker = AnswerChecker::default();
+    checker.record(&first, Some(first_answer));
+    checker.record(&second, Some(during));
+    checker.record(&second, Some(after));
+    checker.check(&basin.executions().await);
 }
 
-/// Two organisations use the same key by chance: each settles its own, and gets its own receipt.
+/// Guards against keys shared between organisations: two use the same key by chance. Both
+/// settlements run, and each gets its own receipt.
 #[tokio::test]
-async fn a_key_belongs_to_its_organisation() {
+async fn organisations_may_use_the_same_key() {
     let basin = basin().await;
     let entry = &basin.entries[0];
     let mill = Request::settlement("mill").with_key(Some("17"));
@@ -102,21 +105,21 @@
         .with_key(Some("17"))
         .with_bearer("demo-delta-north-intake");
 
-    let mill_answer = mill.ask_until_final(entry).await;
-    let north_answer = north.ask_until_final(entry).await;
+    let mill_answer = mill.send_until_final(entry).await;
+    let north_answer = north.send_until_final(entry).await;
 
     assert!(mill_answer.is_complete(), "{mill_answer:?}");
     assert!(north_answer.is_complete(), "{north_answer:?}");
-    let mut judge = Judge::default();
-    judge.take(&mill, Some(mill_answer));
-    judge.take(&north, Some(north_answer));
-    judge.check(&basin.executions().await);
+    let mut checker = AnswerChecker::default();
+    checker.record(&mill, Some(mill_answer));
+    checker.record(&north, Some(north_answer));
+    checker.check(&basin.executions().await);
 }
 
-/// A scale house on a bad line sends half of its settlement and then nothing. The entry answers that
-/// it did not arrive in time, and does not run the half.
+/// Guards against a truncated request that runs: a caller sends a part of its body and then
+/// nothing. The entry answers that the body did not arrive in time.
 #[tokio::test]
-async fn a_caller_who_sends_half_a_body() {
+async fn an_incomplete_body_times_out_and_does_not_run() {
     let basin = basin().await;
     let address = basin.entries[0].process.address();
     let mut head = "POST /v1/services/grower-ledger/settlements HTTP/1.1\r\n".to_owned();
@@ -137,26 +140,28 @@
     assert!(basin.executions().await.is_empty());
 }
 
-/// Bad requests do no harm to good ones that come at the same time.
+/// Guards against invalid requests that impair a valid one sent at the same time.
 #[tokio::test]
-async fn good_requests_go_through_among_bad_ones() {
+async fn a_valid_request_completes_beside_invalid_ones() {
     let basin = basin().await;
     let entry = &basin.entries[0];
     let bad: Vec<_> = bad_requests()
         .iter()
-        .map(|(one, _)| one.asking(entry))
+        .map(|(request, _)| request.send_in_background(entry))
         .collect();
     let settlement = Request::settlement("good");
 
-    let answer = settlement.ask_until_final(entry).await;
-    for one in bad {
-        let answer = answer_of(one).await;
+    let answer = settlement.send_until_final(entry).await;
+    for pending in bad {
+        let answer = await_answer(pending).await;
         assert_ne!(answer.code / 1000, 4, "{answer:?}");
     }
 
     assert!(answer.is_complete(), "{answer:?}");
     let digest = settlement.digest();
     let executions = basin.executions().await;
-    let own = executions.iter().filter(|one| one.body_digest == digest);
-    assert_eq!(own.count(), 1);
+    let matching = executions
+        .iter()
+        .filter(|execution| execution.body_digest == digest);
+    assert_eq!(matching.count(), 1);
 }
--- a/crates/standins/tests/orders_planner.rs
+++ b/crates/standins/tests/orders_planner.rs
@@ -15,7 +15,8 @@
 use amaranthscale_standins::http::{HttpClient, RunningStandin};
 use serde_json::Value;
 use support::{
-    OrdersBench, engine, host, model, pool, put_service, quick_planner, switch, tree, until,
+    OrdersFixture, compiled_tree, fast_planner_settings, host_id, model_id, poll_until,
+    put_service, service_id, set_faults, start_engine,
 };
 use tokio::sync::Semaphore;
 
@@ -25,21 +26,21 @@
 const RENEWALS: u64 = 3;
 
 /// Starts engines with their sidecars and adds them to the host list.
-async fn engines(bench: &OrdersBench, count: u32) -> Vec<(RunningStandin, Sidecar)> {
+async fn engines(bench: &OrdersFixture, count: u32) -> Vec<(RunningStandin, Sidecar)> {
     let mut engines = Vec::new();
     for number in 0..count {
-        let engine = engine(true).await;
+        let engine = start_engine(true).await;
         let sidecar = bench.sidecar(number, &engine, LONG_TIMEOUT).await;
-        bench.list(number, sidecar.address()).await;
+        bench.add_host(number, sidecar.address()).await;
         engines.push((engine, sidecar));
     }
     engines
 }
 
 fn replicas(placement: &Placement, name: &str) -> Vec<u32> {
-    let model = model(name);
+    let model = model_id(name);
     let has_model = |number: &u32| {
-        let assignment = placement.assignments.get(&host(*number));
+        let assignment = placement.assignments.get(&host_id(*number));
         assignment.is_some_and(|assignment| assignment.models.contains(&model))
     };
     (0..10).filter(has_model).collect()
@@ -50,7 +51,7 @@
 fn long_lease_planner() -> PlannerSettings {
     PlannerSettings {
         lease_duration: LONG_TIMEOUT,
-        ..quick_planner()
+        ..fast_planner_settings()
     }
 }
 
@@ -95,79 +96,89 @@
     // between its decision and its write; another acquires the lease but has not written its plan
     // yet; the first resumes, takes its lease as valid, and writes. Only the check of the lease
     // row in that transaction can stop it, as the placement row's version is unchanged.
-    let bench = OrdersBench::start().await;
+    let bench = OrdersFixture::start().await;
     let _engines = engines(&bench, 1).await;
-    let settings = quick_planner();
+    let settings = fast_planner_settings();
     let (first_barrier, gate) = WriteBarrier::new();
     let paused = bench
-        .planner("entry-1", tree(1, "old", 1), long_lease_planner(), gate)
+        .planner(
+            "entry-1",
+            compiled_tree(1, "old", 1),
+            long_lease_planner(),
+            gate,
+        )
         .await;
     first_barrier.reached().await;
     let (second_barrier, gate) = WriteBarrier::new();
     let successor = bench
-        .planner("entry-2", tree(2, "new", 1), settings, gate)
+        .planner("entry-2", compiled_tree(2, "new", 1), settings, gate)
         .await;
     second_barrier.reached().await;
 
     first_barrier.release();
-    until("the paused planner detects the lost lease", async || {
-        paused.count("lease_lost") == 1
+    poll_until("the paused planner detects the lost lease", async || {
+        paused.counter("lease_lost") == 1
     })
     .await;
     assert_eq!(bench.placement().await.0.version, RowVersion::default());
     second_barrier.release();
-    until("the successor writes its plan", async || {
-        successor.count("placed") == 1
+    poll_until("the successor writes its plan", async || {
+        successor.counter("placed") == 1
     })
     .await;
-    let renewed = successor.count("lease_written");
-    until("the successor renews its lease", async || {
-        successor.count("lease_written") >= renewed + RENEWALS
+    let renewed = successor.counter("lease_written");
+    poll_until("the successor renews its lease", async || {
+        successor.counter("lease_written") >= renewed + RENEWALS
     })
     .await;
 
     let (row, placement) = bench.placement().await;
     assert_eq!(row.version, RowVersion::new(1));
     assert_eq!(replicas(&placement, "new"), [0]);
-    assert_eq!(paused.count("placed"), 0);
+    assert_eq!(paused.counter("placed"), 0);
     assert_eq!(paused.handle.status().fencing, None);
 }
 
 #[tokio::test]
 async fn a_paused_planner_does_not_overwrite_its_successor() {
     // As above, but the successor has written its plan before the paused planner resumes.
-    let bench = OrdersBench::start().await;
+    let bench = OrdersFixture::start().await;
     let _engines = engines(&bench, 1).await;
-    let settings = quick_planner();
+    let settings = fast_planner_settings();
     let (first_barrier, gate) = WriteBarrier::new();
     let paused = bench
-        .planner("entry-1", tree(1, "old", 1), long_lease_planner(), gate)
+        .planner(
+            "entry-1",
+            compiled_tree(1, "old", 1),
+            long_lease_planner(),
+            gate,
+        )
         .await;
     first_barrier.reached().await;
     let open_gate = WriteGate::default();
     let successor = bench
-        .planner("entry-2", tree(2, "new", 1), settings, open_gate)
+        .planner("entry-2", compiled_tree(2, "new", 1), settings, open_gate)
         .await;
-    until("the successor writes its plan", async || {
-        successor.count("placed") == 1
+    poll_until("the successor writes its plan", async || {
+        successor.counter("placed") == 1
     })
     .await;
     let (before, _) = bench.placement().await;
 
     first_barrier.release();
-    until(
+    poll_until(
         "the paused planner detects the newer placement",
-        async || paused.count("overtaken") == 1,
+        async || paused.counter("overtaken") == 1,
     )
     .await;
-    let renewed = successor.count("lease_written");
-    until("the successor renews its lease", async || {
-        successor.count("lease_written") >= renewed + RENEWALS
+    let renewed = successor.counter("lease_written");
+    poll_until("the successor renews its lease", async || {
+        successor.counter("lease_written") >= renewed + RENEWALS
     })
     .await;
 
     assert_eq!(bench.placement().await.0, before);
-    assert_eq!(paused.count("placed"), 0);
+    assert_eq!(paused.counter("placed"), 0);
     assert_eq!(paused.handle.status().fencing, None);
 }
 
@@ -175,11 +186,16 @@
 async fn a_planner_with_an_older_tree_keeps_the_placement() {
     // Guards against an accepted edit that is undone for seconds: the planner that applied it
     // stops, and its successor has not received the edit yet.
-    let bench = OrdersBench::start().await;
+    let bench = OrdersFixture::start().await;
     let _engines = engines(&bench, 1).await;
-    let (settings, open_gate) = (quick_planner(), WriteGate::default());
+    let (settings, open_gate) = (fast_planner_settings(), WriteGate::default());
     let first = bench
-        .planner("entry-1", tree(2, "new", 1), settings, open_gate.clone())
+        .planner(
+            "entry-1",
+            compiled_tree(2, "new", 1),
+            settings,
+            open_gate.clone(),
+        )
         .await;
     let mut statuses = first.handle.statuses();
     let placed = statuses.wait_for(|status| status.placement_version.get() > 0);
@@ -188,16 +204,18 @@
     first.handle.stop();
 
     let successor = bench
-        .planner("entry-2", tree(1, "old", 1), settings, open_gate)
+        .planner("entry-2", compiled_tree(1, "old", 1), settings, open_gate)
         .await;
-    until("the successor holds the lease", async || {
-        successor.count("tree_behind") >= RENEWALS
+    poll_until("the successor holds the lease", async || {
+        successor.counter("tree_behind") >= RENEWALS
     })
     .await;
     assert_eq!(bench.placement().await.0, before);
 
-    successor.tree.send_replace(Arc::new(tree(3, "newest", 1)));
-    until("the successor plans from the newer tree", async || {
+    successor
+        .tree
+        .send_replace(Arc::new(compiled_tree(3, "newest", 1)));
+    poll_until("the successor plans from the newer tree", async || {
         replicas(&bench.placement().await.1, "newest") == [0]
     })
     .await;
@@ -208,22 +226,22 @@
     // Guards against a model that stays one replica short after a host leaves, so that requests
     // queue at the others. The leaving engine must not be ordered to unload, as requests still run
     // on it.
-    let bench = OrdersBench::start().await;
+    let bench = OrdersFixture::start().await;
     let engines = engines(&bench, 3).await;
-    let (settings, open_gate) = (quick_planner(), WriteGate::default());
+    let (settings, open_gate) = (fast_planner_settings(), WriteGate::default());
     let _planner = bench
-        .planner("entry-1", tree(1, "assay", 2), settings, open_gate)
+        .planner("entry-1", compiled_tree(1, "assay", 2), settings, open_gate)
         .await;
-    bench.until_loaded(&engines[0].0, &["assay"]).await;
-    bench.until_loaded(&engines[1].0, &["assay"]).await;
+    bench.wait_until_loaded(&engines[0].0, &["assay"]).await;
+    bench.wait_until_loaded(&engines[1].0, &["assay"]).await;
 
-    bench.leave(0).await;
-    bench.until_loaded(&engines[2].0, &["assay"]).await;
+    bench.mark_leaving(0).await;
+    bench.wait_until_loaded(&engines[2].0, &["assay"]).await;
 
     let (_, placement) = bench.placement().await;
     assert_eq!(replicas(&placement, "assay"), [1, 2]);
     let leaving_orders = bench.orders(&engines[0].0).await;
-    assert_eq!(leaving_orders.models, [model("assay")]);
+    assert_eq!(leaving_orders.models, [model_id("assay")]);
     let is_unload = |order: &EngineOrder| matches!(order, EngineOrder::UnloadModel(_));
     assert!(
         !leaving_orders
@@ -237,12 +255,12 @@
 async fn engines_keep_their_models_once_the_tree_lists_none() {
     // An operator removes a service's models from the tree to load them by hand. Guards against
     // engines that unload them again because the last placement still lists the engines.
-    let bench = OrdersBench::start().await;
+    let bench = OrdersFixture::start().await;
     let engines = engines(&bench, 1).await;
-    let (settings, open_gate) = (quick_planner(), WriteGate::default());
-    let with_model = tree(1, "assay", 1);
+    let (settings, open_gate) = (fast_planner_settings(), WriteGate::default());
+    let with_model = compiled_tree(1, "assay", 1);
     let without_model = with_model.tree().apply(&TreeEdit::PutService {
-        id: pool(),
+        id: service_id(),
         service: Service::repeatable(),
     });
     let without_model =
@@ -250,10 +268,10 @@
     let planner = bench
         .planner("entry-1", with_model, settings, open_gate)
         .await;
-    bench.until_loaded(&engines[0].0, &["assay"]).await;
+    bench.wait_until_loaded(&engines[0].0, &["assay"]).await;
 
     planner.tree.send_replace(Arc::new(without_model));
-    until("the placement names no engine", async || {
+    poll_until("the placement names no engine", async || {
         let (row, placement) = bench.placement().await;
         row.version > RowVersion::new(1) && placement.assignments.is_empty()
     })
@@ -261,14 +279,14 @@
     let (row, _) = bench.placement().await;
     let http = HttpClient::http2();
     let url = format!("http://{}/status", engines[0].1.address());
-    until("the sidecar has read the placement", async || {
+    poll_until("the sidecar has read the placement", async || {
         let status: Value = http.get_json(&url).await.expect("the sidecar answers");
         status["engine"]["placement_version"] == row.version.get()
     })
     .await;
 
     let orders = bench.orders(&engines[0].0).await;
-    assert_eq!(orders.models, [model("assay")]);
+    assert_eq!(orders.models, [model_id("assay")]);
     assert_eq!(orders.history.len(), 1);
 }
 
@@ -276,32 +294,32 @@
 async fn concurrent_loads_stay_within_the_limit_of_the_weight_store() {
     // Guards against an edit after which no engine serves the new model for minutes: all load it
     // at once, and the weight store limits the rate of each.
-    let bench = OrdersBench::start().await;
+    let bench = OrdersFixture::start().await;
     let engines = engines(&bench, 4).await;
     let frozen = |frozen| BackendFaults {
         frozen: Some(frozen),
         ..BackendFaults::default()
     };
     for (engine, _) in &engines {
-        switch(&bench.client, engine.url("/admin/faults"), &frozen(true)).await;
+        set_faults(&bench.client, engine.url("/admin/faults"), &frozen(true)).await;
     }
     let settings = PlannerSettings {
         limits: PlanLimits { loads_per_store: 1 },
-        ..quick_planner()
+        ..fast_planner_settings()
     };
     let open_gate = WriteGate::default();
     let planner = bench
-        .planner("entry-1", tree(1, "assay", 4), settings, open_gate)
+        .planner("entry-1", compiled_tree(1, "assay", 4), settings, open_gate)
         .await;
 
     for loaded in 0..4 {
-        until("one more replica is placed", async || {
+        poll_until("one more replica is placed", async || {
             replicas(&bench.placement().await.1, "assay").len() > loaded
         })
         .await;
-        let renewed = planner.count("lease_written");
-        until("the planner has had time to place another", async || {
-            planner.count("lease_written") > renewed
+        let renewed = planner.counter("lease_written");
+        poll_until("the planner has had time to place another", async || {
+            planner.counter("lease_written") > renewed
         })
         .await;
         let placed = replicas(&bench.placement().await.1, "assay");
@@ -309,7 +327,7 @@
         for number in placed {
             let index = usize::try_from(number).expect("engines are few");
             let faults = engines[index].0.url("/admin/faults");
-            switch(&bench.client, faults, &frozen(false)).await;
+            set_faults(&bench.client, faults, &frozen(false)).await;
         }
     }
     let status = planner.handle.status();
@@ -320,10 +338,10 @@
 async fn an_edit_of_the_tree_reaches_the_engines() {
     // Guards against an edit without effect because a step between the edit, the planner, the
     // placement, the sidecars and the engines is missing.
-    let bench = OrdersBench::start().await;
+    let bench = OrdersFixture::start().await;
     let engines = engines(&bench, 2).await;
     let config = EntryConfig {
-        planner: quick_planner(),
+        planner: fast_planner_settings(),
         host_poll_interval: Duration::from_millis(20),
         ..EntryConfig::new(
             "entry-1".parse().expect("a valid name"),
@@ -344,12 +362,12 @@
         EditResult::Accepted(_)
     ));
     for (engine, _) in &engines {
-        bench.until_loaded(engine, &["assay"]).await;
+        bench.wait_until_loaded(engine, &["assay"]).await;
     }
 
     let http = HttpClient::new();
     let url = format!("http://{}/status", entry.address());
-    until("the status shows the loads as done", async || {
+    poll_until("the status shows the loads as done", async || {
         let status: Value = http.get_json(&url).await.expect("the entry answers");
         let planner = &status["planner"];
         planner["fencing"].is_number()
--- a/crates/standins/tests/orders_sidecar.rs
+++ b/crates/standins/tests/orders_sidecar.rs
@@ -10,7 +10,7 @@
 use amaranthscale_standins::engine::{EngineOrder, OrderState};
 use amaranthscale_standins::http::HttpClient;
 use serde_json::{Value, json};
-use support::{OrdersBench, counted, engine, model, switch, until};
+use support::{OrdersFixture, model_id, poll_until, set_faults, sidecar_counter, start_engine};
 
 /// Time after which a sidecar abandons an unanswered order.
 const SHORT_TIMEOUT: Duration = Duration::from_millis(100);
@@ -28,24 +28,24 @@
     // Guards against requests that fail on one server because its sidecar sent orders before it
     // read the placement. The sidecar restarts during an outage of the table, has no placement in
     // memory, and does not know which models the engine runs.
-    let bench = OrdersBench::start().await;
-    let engine = engine(false).await;
+    let bench = OrdersFixture::start().await;
+    let engine = start_engine(false).await;
     let first = bench.sidecar(0, &engine, LONG_TIMEOUT).await;
-    bench.place(0, &["old"]).await;
-    bench.until_loaded(&engine, &["old"]).await;
+    bench.write_placement(0, &["old"]).await;
+    bench.wait_until_loaded(&engine, &["old"]).await;
     first.stop().await;
-    let newer = bench.place(0, &["new"]).await;
+    let newer = bench.write_placement(0, &["new"]).await;
     let before = bench.orders(&engine).await;
 
-    bench.outage(true).await;
+    bench.set_outage(true).await;
     let second = bench.sidecar(0, &engine, LONG_TIMEOUT).await;
-    until("the restarted sidecar fails to read", async || {
-        counted(&second, "orders.placement_unread") >= FAILED_READS
+    poll_until("the restarted sidecar fails to read", async || {
+        sidecar_counter(&second, "orders.placement_unread") >= FAILED_READS
     })
     .await;
     assert_eq!(bench.orders(&engine).await, before, "no order yet");
-    bench.outage(false).await;
-    bench.until_loaded(&engine, &["new"]).await;
+    bench.set_outage(false).await;
+    bench.wait_until_loaded(&engine, &["new"]).await;
 
     let orders = bench.orders(&engine).await;
     let number = FencingNumber::new(newer.version.get());
@@ -55,29 +55,29 @@
 }
 
 async fn check_frozen_engine_ends_with_newest_placement(honours_fence: bool) {
-    let bench = OrdersBench::start().await;
-    let engine = engine(honours_fence).await;
+    let bench = OrdersFixture::start().await;
+    let engine = start_engine(honours_fence).await;
     let frozen = |frozen| BackendFaults {
         frozen: Some(frozen),
         ..BackendFaults::default()
     };
     let faults = engine.url("/admin/faults");
     let sidecar = bench.sidecar(0, &engine, SHORT_TIMEOUT).await;
-    switch(&bench.client, &faults, &frozen(true)).await;
-    bench.place(0, &["first"]).await;
-    until("an order is in flight", async || {
-        counted(&sidecar, "orders.sent") >= 1
+    set_faults(&bench.client, &faults, &frozen(true)).await;
+    bench.write_placement(0, &["first"]).await;
+    poll_until("an order is in flight", async || {
+        sidecar_counter(&sidecar, "orders.sent") >= 1
     })
     .await;
-    bench.place(0, &["second"]).await;
-    let newest = bench.place(0, &["third"]).await;
+    bench.write_placement(0, &["second"]).await;
+    let newest = bench.write_placement(0, &["third"]).await;
 
-    until("unanswered orders were replaced", async || {
-        counted(&sidecar, "orders.after_silence") >= 2
+    poll_until("unanswered orders were replaced", async || {
+        sidecar_counter(&sidecar, "orders.after_silence") >= 2
     })
     .await;
-    switch(&bench.client, &faults, &frozen(false)).await;
-    bench.until_loaded(&engine, &["third"]).await;
+    set_faults(&bench.client, &faults, &frozen(false)).await;
+    bench.wait_until_loaded(&engine, &["third"]).await;
 
     let orders = bench.orders(&engine).await;
     assert!(fences(&orders).is_sorted(), "{:?}", orders.history);
@@ -85,10 +85,10 @@
         orders.highest_fence,
         FencingNumber::new(newest.version.get())
     );
-    let sent = counted(&sidecar, "orders.sent");
-    bench.place(0, &["fourth"]).await;
-    bench.until_loaded(&engine, &["fourth"]).await;
-    assert!(counted(&sidecar, "orders.sent") > sent);
+    let sent = sidecar_counter(&sidecar, "orders.sent");
+    bench.write_placement(0, &["fourth"]).await;
+    bench.wait_until_loaded(&engine, &["fourth"]).await;
+    assert!(sidecar_counter(&sidecar, "orders.sent") > sent);
     assert!(fences(&bench.orders(&engine).await).is_sorted());
     sidecar.stop().await;
 }
@@ -112,11 +112,11 @@
 async fn a_model_unloaded_by_others_is_loaded_again() {
     // Guards against requests that fail on one server while its sidecar reports that all orders are
     // done: the engine was ordered to unload by someone else, or has restarted.
-    let bench = OrdersBench::start().await;
-    let engine = engine(false).await;
+    let bench = OrdersFixture::start().await;
+    let engine = start_engine(false).await;
     let sidecar = bench.sidecar(0, &engine, LONG_TIMEOUT).await;
-    bench.place(0, &["kept"]).await;
-    bench.until_loaded(&engine, &["kept"]).await;
+    bench.write_placement(0, &["kept"]).await;
+    bench.wait_until_loaded(&engine, &["kept"]).await;
 
     let order = json!({"fence": 1, "order": {"unload_model": "kept"}});
     let reply: Value = bench
@@ -126,20 +126,20 @@
         .expect("the engine answers");
     assert_eq!(reply["applied"], true);
 
-    bench.until_loaded(&engine, &["kept"]).await;
+    bench.wait_until_loaded(&engine, &["kept"]).await;
     sidecar.stop().await;
 }
 
 #[tokio::test]
 async fn the_status_shows_loaded_models_and_the_placement() {
-    let bench = OrdersBench::start().await;
-    let engine = engine(true).await;
+    let bench = OrdersFixture::start().await;
+    let engine = start_engine(true).await;
     let sidecar = bench.sidecar(0, &engine, LONG_TIMEOUT).await;
-    let row = bench.place(0, &["assay-7b"]).await;
+    let row = bench.write_placement(0, &["assay-7b"]).await;
     let http = HttpClient::http2();
     let url = format!("http://{}/status", sidecar.address());
 
-    until("the status shows the model", async || {
+    poll_until("the status shows the model", async || {
         let status: Value = http.get_json(&url).await.expect("the sidecar answers");
         status["engine"]["running"]["models"][0] == "assay-7b"
             && status["engine"]["placement_version"] == row.version.get()
@@ -147,7 +147,7 @@
     })
     .await;
 
-    assert_eq!(bench.orders(&engine).await.models, [model("assay-7b")]);
+    assert_eq!(bench.orders(&engine).await.models, [model_id("assay-7b")]);
     sidecar.stop().await;
 }
 
@@ -155,23 +155,25 @@
 async fn a_failed_load_does_not_block_others_and_is_retried() {
     // Guards against requests for two models that fail on one server although the engine could
     // load one of them: the load of the first fails, and the sidecar stops there.
-    let bench = OrdersBench::start().await;
-    let engine = engine(true).await;
+    let bench = OrdersFixture::start().await;
+    let engine = start_engine(true).await;
     let one_failure = BackendFaults {
         fail_orders: Some(1),
         ..BackendFaults::default()
     };
-    switch(&bench.client, engine.url("/admin/faults"), &one_failure).await;
+    set_faults(&bench.client, engine.url("/admin/faults"), &one_failure).await;
     let sidecar = bench.sidecar(0, &engine, LONG_TIMEOUT).await;
 
-    bench.place(0, &["a-fails", "b-loads"]).await;
-    bench.until_loaded(&engine, &["a-fails", "b-loads"]).await;
+    bench.write_placement(0, &["a-fails", "b-loads"]).await;
+    bench
+        .wait_until_loaded(&engine, &["a-fails", "b-loads"])
+        .await;
 
     let orders = bench.orders(&engine).await;
     let loads: Vec<_> = orders.history.iter().map(|record| &record.order).collect();
-    let load = |name| EngineOrder::LoadModel(model(name));
+    let load = |name| EngineOrder::LoadModel(model_id(name));
     assert_eq!(loads, [&load("b-loads"), &load("a-fails")]);
-    assert_eq!(counted(&sidecar, "orders.refused"), 1);
+    assert_eq!(sidecar_counter(&sidecar, "orders.refused"), 1);
     sidecar.stop().await;
 }
 
@@ -180,8 +182,8 @@
     // Guards against an engine that runs none of its models without a visible cause: an operator
     // sent it an order with a fencing number far above the placement's, and it has refused every
     // order since.
-    let bench = OrdersBench::start().await;
-    let engine = engine(true).await;
+    let bench = OrdersFixture::start().await;
+    let engine = start_engine(true).await;
     let by_hand = json!({"fence": 1000, "order": {"set_role": "both"}});
     let reply: Value = bench
         .client
@@ -191,10 +193,10 @@
     assert_eq!(reply["applied"], true);
 
     let sidecar = bench.sidecar(0, &engine, LONG_TIMEOUT).await;
-    bench.place(0, &["assay-7b"]).await;
+    bench.write_placement(0, &["assay-7b"]).await;
     let http = HttpClient::http2();
     let url = format!("http://{}/status", sidecar.address());
-    until("the status shows the refusal", async || {
+    poll_until("the status shows the refusal", async || {
         let status: Value = http.get_json(&url).await.expect("the sidecar answers");
         status["engine"]["last_failure"] == "the engine refused with status 409"
     })
--- a/crates/standins/tests/standin_engine.rs
+++ b/crates/standins/tests/standin_engine.rs
@@ -12,7 +12,7 @@
 use amaranthscale_standins::http::{HttpClient, HttpError, HttpReply, RunningStandin};
 use hyper::{Method, StatusCode};
 use serde_json::{Value, json};
-use support::{HeldClock, eventually, joined, settle, switch};
+use support::{ManualClock, eventually, join_task, run_round_trips, set_faults};
 use tokio::task::JoinHandle;
 
 /// Time per token in tests whose sequences must not end by themselves.
@@ -32,7 +32,7 @@
     }
 
     async fn set_faults(&self, faults: BackendFaults) {
-        switch(&self.client, self.engine.url("/admin/faults"), &faults).await;
+        set_faults(&self.client, self.engine.url("/admin/faults"), &faults).await;
     }
 
     async fn run(&self, call: EngineCall) -> Result<HttpReply, HttpError> {
@@ -219,7 +219,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn waiting_calls_start_by_priority_then_by_arrival() {
-    let _clock = HeldClock::hold();
+    let _clock = ManualClock::install();
     let fixture = Fixture::start(endless_settings()).await;
     let running = fixture.spawn_run(generation("first", 1));
     fixture.until_running(1).await;
@@ -251,7 +251,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn concurrent_sequences_slow_each_other_down() {
-    let clock = HeldClock::hold();
+    let clock = ManualClock::install();
     let settings = EngineSettings {
         slots: 2,
         token_ms: 100,
@@ -319,7 +319,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn cache_events_are_delayed_and_have_gaps() {
-    let clock = HeldClock::hold();
+    let clock = ManualClock::install();
     let settings = EngineSettings {
         cache_event_lag_ms: 60_000,
         cache_event_gap_every: 2,
@@ -342,7 +342,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn the_load_report_is_delayed() {
-    let clock = HeldClock::hold();
+    let clock = ManualClock::install();
     let settings = EngineSettings {
         load_lag_ms: 60_000,
         ..endless_settings()
@@ -366,7 +366,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_dropped_answer_cancels_its_sequence() {
     // A caller disconnects while its answer is generated. The engine must free the slot.
-    let _clock = HeldClock::hold();
+    let _clock = ManualClock::install();
     let fixture = Fixture::start(endless_settings()).await;
     let url = fixture.engine.url("/run/generation");
     let headers = [("x-call-id", "c1")];
@@ -386,7 +386,7 @@
 async fn a_waiting_call_whose_caller_disconnects_never_starts() {
     // A caller disconnects while its call waits for a slot. The call must not start later, as no
     // one reads its answer.
-    let _clock = HeldClock::hold();
+    let _clock = ManualClock::install();
     let fixture = Fixture::start(endless_settings()).await;
     let running = fixture.spawn_run(generation("first", 1));
     fixture.until_running(1).await;
@@ -407,7 +407,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_cancelled_waiting_call_never_starts() {
-    let _clock = HeldClock::hold();
+    let _clock = ManualClock::install();
     let fixture = Fixture::start(endless_settings()).await;
     let running = fixture.spawn_run(generation("first", 1));
     fixture.until_running(1).await;
@@ -426,7 +426,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_cancelled_stream_ends_with_an_error() {
-    let clock = HeldClock::hold();
+    let clock = ManualClock::install();
     let fixture = Fixture::start(endless_settings()).await;
     let url = fixture.engine.url("/run/");
     let call =
@@ -490,12 +490,12 @@
     fixture.set_faults(frozen(true)).await;
 
     let call = fixture.spawn_run(generation("c1", 1));
-    settle(async || fixture.executions().await).await;
+    run_round_trips(async || fixture.executions().await).await;
     let while_frozen = fixture.executions().await;
     fixture.set_faults(frozen(false)).await;
 
     assert_eq!(while_frozen, []);
-    assert_eq!(lines(&joined(call).await.unwrap()).len(), 2);
+    assert_eq!(lines(&join_task(call).await.unwrap()).len(), 2);
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/standins/tests/standin_platform.rs
+++ b/crates/standins/tests/standin_platform.rs
@@ -17,7 +17,7 @@
 };
 use hyper::StatusCode;
 use quickcheck::quickcheck;
-use support::{HeldClock, eventually, settle, switch};
+use support::{ManualClock, eventually, run_round_trips, set_faults};
 use tokio::time::Instant;
 
 struct Fixture {
@@ -34,7 +34,7 @@
     }
 
     async fn set_faults(&self, faults: PlatformFaults) {
-        switch(&self.client, self.platform.url("/admin/faults"), &faults).await;
+        set_faults(&self.client, self.platform.url("/admin/faults"), &faults).await;
     }
 
     async fn write(&self, key: &str, version: u64, value: &str) -> Result<HttpReply, HttpError> {
@@ -191,9 +191,9 @@
     let body = serde_json::to_vec(&write("k", 0, "x")).unwrap();
     let url = fixture.platform.url("/table/transaction");
     let call = tokio::spawn(async move { HttpClient::new().post(url, &[], body).await });
-    settle(async || fixture.counts().await).await;
+    run_round_trips(async || fixture.counts().await).await;
     fixture.set_faults(silent(false)).await;
-    settle(async || fixture.counts().await).await;
+    run_round_trips(async || fixture.counts().await).await;
 
     assert!(!call.is_finished());
     assert_eq!(fixture.row("k").await.version.get(), 0);
@@ -240,7 +240,7 @@
 async fn a_late_write_takes_effect_after_the_row_was_read_back() {
     // A process writes a claim, gets no answer, and reads the row unchanged. It takes the write for
     // failed, but the platform was still processing it, and the row changes later.
-    let clock = HeldClock::hold();
+    let clock = ManualClock::install();
     let fixture = Fixture::start(PlatformSettings::default()).await;
     fixture.set_faults(late_effects(1)).await;
 
@@ -260,7 +260,7 @@
 async fn a_late_write_is_checked_when_it_takes_effect() {
     // A process writes a claim, gets no answer, and cancels the claim; the cancellation is written
     // first. The delayed write then fails its version check and changes nothing.
-    let clock = HeldClock::hold();
+    let clock = ManualClock::install();
     let fixture = Fixture::start(PlatformSettings::default()).await;
     fixture.set_faults(late_effects(1)).await;
 
@@ -289,7 +289,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn calls_above_the_rate_are_refused_until_the_next_second() {
-    let clock = HeldClock::hold();
+    let clock = ManualClock::install();
     let settings = PlatformSettings {
         reads_per_second: 2,
         writes_per_second: 1,
@@ -320,7 +320,7 @@
 async fn host_list_changes_become_visible_after_the_lag() {
     // A host is leaving, but the list still shows it as live for a while. Processes that rely on
     // the list alone send it new work until then.
-    let clock = HeldClock::hold();
+    let clock = ManualClock::install();
     let settings = PlatformSettings {
         host_list_lag_ms: 5_000,
         ..PlatformSettings::default()
--- a/crates/standins/tests/standin_relay.rs
+++ b/crates/standins/tests/standin_relay.rs
@@ -10,7 +10,7 @@
 use amaranthscale_standins::relay::{Relay, RelayCounts, RelayFaults, RelaySettings, RunningRelay};
 use amaranthscale_standins::service::{Service, ServiceExecution, ServiceSettings};
 use hyper::StatusCode;
-use support::{call_headers, joined, settle, switch};
+use support::{call_headers, join_task, run_round_trips, set_faults};
 use tokio::time::Instant;
 
 struct Fixture {
@@ -40,7 +40,7 @@
 
     async fn set_faults(&self, faults: RelayFaults) {
         let url = self.relay.admin_url("/admin/faults");
-        switch(&self.direct, url, &faults).await;
+        set_faults(&self.direct, url, &faults).await;
     }
 
     async fn counts(&self) -> RelayCounts {
@@ -87,7 +87,7 @@
     let url = fixture.relay.url("/settle");
     let client = fixture.through_relay.clone();
     let silent = tokio::spawn(async move { client.post(url, &call_headers("c2"), "{}").await });
-    settle(async || fixture.counts().await).await;
+    run_round_trips(async || fixture.counts().await).await;
     let renewed = fixture.call(&HttpClient::new(), "c3").await.unwrap();
 
     assert_eq!(renewed.status, StatusCode::OK);
@@ -115,11 +115,11 @@
     let url = fixture.relay.url("/settle");
     let client = fixture.through_relay.clone();
     let silent = tokio::spawn(async move { client.post(url, &call_headers("c2"), "{}").await });
-    settle(async || fixture.counts().await).await;
+    run_round_trips(async || fixture.counts().await).await;
 
     fixture.set_faults(cut).await;
 
-    let ended = joined(silent).await;
+    let ended = join_task(silent).await;
     assert!(matches!(ended, Err(HttpError::NoAnswer(_))), "{ended:?}");
     assert_eq!(fixture.counts().await.cut, 1);
     assert_eq!(fixture.executions().await.len(), 1);
--- a/crates/standins/tests/standin_service.rs
+++ b/crates/standins/tests/standin_service.rs
@@ -9,7 +9,7 @@
 use amaranthscale_standins::service::{Service, ServiceExecution, ServiceSettings};
 use hyper::StatusCode;
 use serde_json::Value;
-use support::{call_headers, eventually, joined, settle, switch};
+use support::{call_headers, eventually, join_task, run_round_trips, set_faults};
 use tokio::task::JoinHandle;
 
 struct Fixture {
@@ -31,7 +31,7 @@
     }
 
     async fn set_faults(&self, faults: BackendFaults) {
-        switch(&self.client, self.service.url("/admin/faults"), &faults).await;
+        set_faults(&self.client, self.service.url("/admin/faults"), &faults).await;
     }
 
     async fn call(&self, call_id: &str) -> Result<HttpReply, HttpError> {
@@ -97,12 +97,12 @@
         fixture.executions().await.len() == 1
     })
     .await;
-    settle(async || fixture.executions().await).await;
+    run_round_trips(async || fixture.executions().await).await;
     let answered_while_held = call.is_finished();
     fixture.set_faults(hold(false)).await;
 
     assert!(!answered_while_held);
-    assert_eq!(joined(call).await.unwrap().status, StatusCode::OK);
+    assert_eq!(join_task(call).await.unwrap().status, StatusCode::OK);
 }
 
 #[tokio::test]
@@ -115,12 +115,12 @@
     fixture.set_faults(frozen(true)).await;
 
     let call = fixture.spawn_call("c1");
-    settle(async || fixture.executions().await).await;
+    run_round_trips(async || fixture.executions().await).await;
     let while_frozen = fixture.executions().await;
     fixture.set_faults(frozen(false)).await;
 
     assert_eq!(while_frozen, []);
-    assert_eq!(joined(call).await.unwrap().status, StatusCode::OK);
+    assert_eq!(join_task(call).await.unwrap().status, StatusCode::OK);
 }
 
 #[tokio::test]
