--- a/crates/standins/src/policy/simulation.rs
+++ b/crates/standins/src/policy/simulation.rs
@@ -41,9 +41,11 @@
 /// # Examples
 ///
 /// ```no_run
-/// use amaranthscale_standins::policy::{Simulation, Deployment, Mechanisms, Scenario};
+/// use amaranthscale_standins::policy::{Deployment, Mechanisms, Scenario, Simulation};
 ///
-/// let simulation = Simulation::new(Deployment::delta_basin(), Scenario::TrialSurge, Mechanisms::design(), 7);
+/// let deployment = Deployment::delta_basin();
+/// let simulation =
+///     Simulation::new(deployment, Scenario::TrialSurge, Mechanisms::design(), 7);
 /// let figures = simulation.run();
 /// assert!(figures.paid_attainment > 0.9);
 /// ```
