--- a/crates/standins/src/policy/simulation/caller.rs
+++ b/crates/standins/src/policy/simulation/caller.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The new request of [`repeat_request`](Self::ask_anew).
+    /// The new request of [`Self::repeat_request`].
     pub(super) fn arrive_repeat(&mut self, request: usize) {
         let former = &self.requests[request];
         let (organisation, pipeline) = (former.organisation, former.pipeline);
